--- a/lagoonlever/decisions/streams/answer.py
+++ b/lagoonlever/decisions/streams/answer.py
@@ -1,4 +1,9 @@
-"""What a caller has been given of one generation, token by token, and nothing else."""
+"""The tokens of one generation that were released to the caller, with their running digest.
+
+The digest over the released tokens is part of each event id. When a caller reconnects with an
+event id, the digest shows whether the caller holds the same tokens, so that an answer is never
+continued from the tokens of another one.
+"""
 
 from __future__ import annotations
 
@@ -10,20 +15,23 @@
 
 @attrs.frozen(kw_only=True)
 class Source:
-    """Where pieces come from: one for all pieces of an attempt, as a long answer has many."""
+    """The attempt that produced pieces; shared by all its pieces, as a long answer has many."""
 
     request_id: str
     generation: int
     attempt: int
     attempt_start: int
-    """The offset at which the attempt went on."""
+    """Offset in the answer of the first token of the attempt's stream."""
     target: str
     vm: str
 
 
 @attrs.frozen(kw_only=True)
 class ReleasedPiece:
-    """Released tokens; ``start`` is their offset, ``digest`` that of all up to their end."""
+    """Consecutive released tokens; ``start`` is the offset of the first one.
+
+    ``digest`` covers all tokens of the answer up to the end of this piece.
+    """
 
     start: int
     token_ids: tuple[int, ...]
@@ -38,7 +46,10 @@
 
     @property
     def event_id(self) -> EventId:
-        """The id that a caller comes back with; made anew each time, as pieces are kept."""
+        """The event id by which a caller resumes after this piece.
+
+        It is built on each access, because keeping one for each stored piece costs memory.
+        """
         source = self.source
         return EventId(
             request_id=source.request_id,
@@ -55,7 +66,7 @@
     def ending_at(
         cls, event_id: EventId, *, token_ids: tuple[int, ...], text: str
     ) -> ReleasedPiece:
-        """Give the piece of these tokens that has this event id."""
+        """Return the piece that consists of these tokens and has this event id."""
         source = Source(
             request_id=event_id.request_id,
             generation=event_id.generation,
@@ -74,7 +85,7 @@
 
 
 class Answer:
-    """The released tokens of one generation of one request; only ever grows."""
+    """Released tokens of one generation of one request; tokens are added and never removed."""
 
     def __init__(
         self, *, request_id: str, generation: int, model_version: str, vm: str = ""
@@ -93,17 +104,17 @@
 
     @property
     def generation(self) -> int:
-        """The generation whose tokens these are."""
+        """The number of the generation that the tokens belong to."""
         return self._generation
 
     @property
     def model_version(self) -> str:
-        """The version of the model that every token came from."""
+        """The model version that produced every token."""
         return self._model_version
 
     @property
     def offset(self) -> int:
-        """How many tokens are released."""
+        """The number of released tokens, which is the offset of the next one."""
         return len(self._token_ids)
 
     @property
@@ -113,23 +124,23 @@
 
     @property
     def token_ids(self) -> tuple[int, ...]:
-        """All released tokens."""
+        """The ids of all released tokens."""
         return tuple(self._token_ids)
 
     @property
     def pieces(self) -> list[ReleasedPiece]:
-        """The released pieces in their order; not to be changed by readers."""
+        """The released pieces in order; the list itself, which callers must not modify."""
         return self._pieces
 
     @property
     def text(self) -> str:
-        """The whole released text."""
+        """The text of all released pieces."""
         return "".join(piece.text for piece in self._pieces)
 
     def append(
         self, piece: Piece, *, attempt: int, attempt_start: int, target: str
     ) -> ReleasedPiece:
-        """Release one piece."""
+        """Append a piece of an attempt and return it with its offset and digest."""
         start = self.offset
         for token_id in piece.token_ids:
             self._digest = extend_digest(self._digest, token_id)
@@ -158,7 +169,10 @@
         return source
 
     def adopt(self, piece: ReleasedPiece) -> None:
-        """Take a piece that another VM released; raises ``ValueError`` unless it fits exactly."""
+        """Append a piece that another VM released.
+
+        Raises ``ValueError`` if its offset or digest does not continue this answer.
+        """
         digest = self._digest
         for token_id in piece.token_ids:
             digest = extend_digest(digest, token_id)
@@ -169,11 +183,11 @@
         self._pieces.append(piece)
 
     def index_after(self, last: EventId) -> int | None:
-        """Give the index of the first piece a caller lacks, or None if it holds another answer.
+        """Return the index of the first piece that a caller lacks.
 
-        Guards against a splice: a caller may hold tokens of another generation,
-        or tokens that this VM never released. Its digest then differs at its
-        offset, and its answer must not be continued from here.
+        Return None if the caller holds other tokens than these: those of another generation,
+        or tokens that this VM never released. Its digest then differs at its offset, and
+        continuing it from here would join two different answers.
         """
         if last.generation != self._generation:
             return None
--- a/lagoonlever/decisions/streams/generation.py
+++ b/lagoonlever/decisions/streams/generation.py
@@ -1,8 +1,10 @@
-"""The life of one request for a generation: attempts, releases, resumes, outcome.
+"""State machine of one generation request: attempts, releases, resumes and the outcome.
 
-Pure: messages in, decisions out. A token is released only if its generation and
-its attempt are the current ones and its offset is the next. Continuing on
-another engine starts from the prompt plus exactly the released token ids.
+It does no input or output: methods take what happened and return the decisions to carry
+out. A token is released to the caller only if it comes from an open attempt of the current
+generation and its offset is the next one. An attempt that continues an answer on another
+engine starts from the prompt plus exactly the released token ids, so that nothing is lost
+or repeated.
 """
 
 from __future__ import annotations
@@ -31,12 +33,16 @@
 from lagoonlever.outcomes import Done, Failed, NotRun, Outcome, Reason, Unknown
 
 WHOLE_ANSWER = frozenset({"stop", "length"})
-"""Finish reasons of an engine that mean that its answer is whole."""
+"""Finish reasons by which an engine reports a complete answer; any other one is a failure."""
 
 ATTEMPT_RANDOM_BITS = 20
-"""Low bits of an attempt's number: two VMs that both resume never use one number."""
+"""Number of low bits of an attempt number that are random.
+
+They keep two VMs that both resume the same request from using the same attempt number.
+"""
 
 QUICK_ATTEMPTS = 3
+"""Number of first attempts that start without a backoff."""
 FIRST_BACKOFF_S = 0.1
 MOST_BACKOFF_S = 2.0
 
@@ -46,18 +52,25 @@
     number: int
     generation: int
     start: int
-    """The offset of the first token that is read of the engine's stream."""
+    """Offset in the answer of the first token that this VM reads from the engine's stream."""
     stream_start: int
-    """The offset at which that stream begins, which another VM may have read from."""
+    """Offset in the answer at which the engine's stream begins.
+
+    It is less than ``start`` if another VM read the first part of the stream.
+    """
     buffer: ReleaseBuffer
     target: str = ""
     received: int = 0
+    """Number of tokens received in this attempt, released or still buffered."""
     ended: bool = False
     answered: bool = False
 
 
 class GenerationLife:
-    """The state machine of one request: each method takes one message and gives the decisions."""
+    """State machine of one generation request.
+
+    Each method applies one message or event and returns the decisions that follow from it.
+    """
 
     def __init__(
         self,
@@ -90,7 +103,7 @@
 
     @property
     def spec(self) -> GenerationSpec:
-        """What the caller asked for."""
+        """The request as the caller sent it."""
         return self._spec
 
     @property
@@ -100,12 +113,12 @@
 
     @property
     def answer(self) -> Answer | None:
-        """What is released of the current generation; None before an engine's first chunk."""
+        """The released tokens of the current generation; None before an engine's first chunk."""
         return self._answer
 
     @property
     def finished(self) -> Finish | None:
-        """The end, once it is decided."""
+        """The final decision, or None while the request is still open."""
         return self._finished
 
     @property
@@ -115,21 +128,21 @@
 
     @property
     def prompt_token_ids(self) -> tuple[int, ...] | None:
-        """The prompt's tokens as the first engine gave them."""
+        """The token ids of the prompt as reported by the generation's first engine, or None."""
         return self._prompt_token_ids
 
     @property
     def live_attempts(self) -> tuple[int, ...]:
-        """The attempts that may still answer."""
+        """The numbers of the open attempts, whose tokens may still be released."""
         return tuple(self._live)
 
     @property
     def released(self) -> int:
-        """How many tokens are released."""
+        """The number of tokens released in the current generation."""
         return self._answer.offset if self._answer else 0
 
     def start(self) -> list[Decision]:
-        """Begin, or go on from the resume point."""
+        """Start the first attempt, or reattach to the engine's stream at the resume point."""
         if self._is_full():
             return self._finish(Done(), "length")
         point = self._resume_point
@@ -147,19 +160,23 @@
         ]
 
     def placed(self, *, attempt: int, target: str) -> None:
-        """Note which engine an attempt goes to; nothing was written yet."""
+        """Record the engine that was chosen for an attempt; nothing is written to it yet."""
         if attempt in self._live:
             self._live[attempt].target = target
 
     def dispatched(self, *, attempt: int) -> None:
-        """Note that an attempt is being written: from now on it may have run."""
+        """Record that an attempt is being written: from now on the engine may have run it."""
         if attempt in self._live:
             self._anything_sent = True
 
     def opened(
         self, *, attempt: int, model_version: str, prompt_token_ids: tuple[int, ...]
     ) -> list[Decision]:
-        """Take the facts of an engine's first chunk: its model's version, the prompt's tokens."""
+        """Handle an engine's first chunk, which has the model version and the prompt's token ids.
+
+        An attempt of another model version than the released tokens is dropped: its tokens
+        would continue the answer of a different model.
+        """
         current = self._live.get(attempt)
         if current is None:
             return []
@@ -179,10 +196,10 @@
         text: str,
         finish_reason: str | None = None,
     ) -> list[Decision]:
-        """Take tokens of an attempt; those of any but a live attempt are dropped.
+        """Handle tokens received in an attempt; tokens of closed attempts are dropped.
 
-        Guards against a frozen engine that thaws after its stream was continued
-        elsewhere: its late tokens would be appended to the other engine's.
+        Otherwise, an engine that froze and recovered after its stream had been continued
+        elsewhere would have its late tokens appended to those of the other engine.
         """
         current = self._live.get(attempt)
         answer = self._answer
@@ -217,7 +234,11 @@
         return decisions
 
     def broken(self, *, attempt: int, cause: BreakCause) -> list[Decision]:
-        """Take the end of an attempt that did not finish its answer."""
+        """Handle an attempt that ended before its answer was complete.
+
+        The engine is avoided from now on unless the cause is no fault of its own. Another
+        attempt is started if no attempt is open and the limits allow it.
+        """
         current = self._live.pop(attempt, None)
         if current is None or self._finished:
             return []
@@ -235,10 +256,10 @@
         return [*decisions, self._dispatch(resume=True)]
 
     def not_admitted(self, *, attempt: int, answer: NotRun) -> list[Decision]:
-        """Handle an attempt that was refused admission: no slot came free in its time.
+        """Handle an attempt that was refused admission because no slot came free in time.
 
-        A request of which nothing was sent ends with that answer at once; one that
-        is to be resumed tries again, as its released part would be lost.
+        A request of which nothing was sent ends with ``answer`` at once. A request that is
+        being resumed is retried, because its released part would be lost otherwise.
         """
         if self._live.pop(attempt, None) is None or self._finished or self._live:
             return []
@@ -249,7 +270,10 @@
         return [self._dispatch(resume=True)]
 
     def suspected(self, *, attempt: int) -> list[Decision]:
-        """Start a hedge for an attempt whose engine seems dead; the first to go on wins."""
+        """Start a hedged attempt beside one whose engine is suspected to be dead.
+
+        The first of them to produce tokens is kept and the other one is cancelled.
+        """
         current = self._live.get(attempt)
         if current is None or self._finished or len(self._live) > self._limits.resumes_within_hedge:
             return []
@@ -258,11 +282,11 @@
         return [self._dispatch(hedge=True, resume=True, avoid=frozenset({current.target}))]
 
     def declared_dead(self, *, attempt: int) -> list[Decision]:
-        """Drop an attempt whose engine is taken for dead, and go on elsewhere."""
+        """Drop an attempt whose engine is declared dead, and continue on another engine."""
         return self.broken(attempt=attempt, cause=BreakCause.SILENT)
 
     def abandon(self, *, reason: Reason, message: str) -> list[Decision]:
-        """Give the request up: its caller left, its time is over, or another VM has it."""
+        """Abandon the request: its caller left, its deadline passed, or another VM took it over."""
         if self._finished:
             return []
         decisions: list[Decision] = [CancelAttempt(attempt=number) for number in self._live]
@@ -346,7 +370,11 @@
         return [CancelAttempt(attempt=number) for number in losers]
 
     def _without_target(self) -> list[Decision]:
-        """No engine can go on: begin anew where that is honest, else give up."""
+        """Handle that no engine can be chosen for the next attempt.
+
+        The avoided engines are tried once more. After that a new generation is started,
+        unless tokens are released and the caller does not accept a restart.
+        """
         if self._avoid and not self._tried_all_again:
             self._avoid.clear()
             self._tried_all_again = True
--- a/lagoonlever/decisions/streams/generation_messages.py
+++ b/lagoonlever/decisions/streams/generation_messages.py
@@ -1,4 +1,8 @@
-"""What the life of a generation is asked and answers: its request, causes and decisions."""
+"""Data types of the generation state machine: request, limits, failure causes and decisions.
+
+The state machine (`GenerationLife`) returns decisions and the entry VM carries them
+out; the types here are shared by both sides.
+"""
 
 from __future__ import annotations
 
@@ -11,11 +15,12 @@
 from lagoonlever.outcomes import Outcome
 
 SEED_BITS = 31
+"""Number of bits of a derived seed."""
 
 
 @attrs.frozen(kw_only=True)
 class GenerationSpec:
-    """What the caller asked for; the same on whichever VM it is resumed."""
+    """A generation request as the caller sent it; identical on every VM that resumes it."""
 
     request_id: str
     organisation: str
@@ -26,14 +31,18 @@
     temperature: float = 1.0
     stop: tuple[str, ...] = ()
     sampling_json: str = "{}"
-    """Further sampling options, passed to the engine as the caller gave them."""
+    """Further sampling options as a JSON object, passed to the engine unchanged."""
     deadline_s: float | None = None
     accepts_restart: bool = False
-    """The caller can tell a new generation from the one it holds part of."""
+    """Whether the caller can discard the tokens it has when a new generation starts."""
 
 
 def seed_of(spec: GenerationSpec, generation: int) -> int:
-    """Give the seed of a generation: the caller's for the first, else one any VM derives alike."""
+    """Return the sampling seed of a generation.
+
+    The first generation uses the caller's seed, if there is one. Every other seed is derived
+    from the request, so that each VM computes the same one.
+    """
     if spec.seed is not None and generation == 1:
         return spec.seed
     name = f"{spec.organisation}|{spec.request_id}|{generation}"
@@ -41,7 +50,7 @@
 
 
 class BreakCause(enum.Enum):
-    """Why an attempt ended without its answer's end."""
+    """Reason why an attempt ended before its answer was complete."""
 
     CONNECT_FAILED = "connect-failed"
     NO_TARGET = "no-target"
@@ -51,26 +60,31 @@
     WRONG_VERSION = "wrong-version"
     OUT_OF_ORDER = "out-of-order"
     ABORTED = "aborted"
-    """The engine ended the stream without the answer's end, as after a cancel."""
+    """The engine ended the stream before the answer was complete, for example after a cancel."""
     NOT_THERE = "not-there"
-    """The engine no longer has the stream that should be taken up; it may take new work."""
+    """The engine no longer has the stream to reattach to; it may still accept new work."""
     CALLED_BACK = "called-back"
-    """This VM left the engine, which is not to blame: the stream is not wanted there any more."""
+    """This VM withdrew the stream from the engine; the engine is not at fault."""
 
 
 NOTHING_SENT = frozenset({BreakCause.CONNECT_FAILED, BreakCause.NO_TARGET})
-"""Causes that prove that the engine received nothing."""
+"""Causes which prove that the engine received nothing, so it cannot have run the request."""
 
 TARGET_NOT_TO_BLAME = frozenset(
     {BreakCause.NO_TARGET, BreakCause.NOT_THERE, BreakCause.CALLED_BACK}
 )
+"""Causes after which the engine may be chosen again."""
 
 NOTHING_TO_CANCEL = NOTHING_SENT | {BreakCause.REFUSED, BreakCause.NOT_THERE}
+"""Causes after which the engine has no stream that would have to be cancelled."""
 
 
 @attrs.frozen(kw_only=True)
 class Dispatch:
-    """Start an attempt: prompt plus ``prefix`` to an engine other than ``avoid``."""
+    """Decision to start an attempt: send the prompt plus ``prefix`` to an engine not in ``avoid``.
+
+    ``prefix`` has the token ids that are released already; ``max_tokens`` counts those after it.
+    """
 
     attempt: int
     generation: int
@@ -83,38 +97,38 @@
     hedge: bool = False
     resume: bool = False
     delay_s: float = 0.0
-    """Wait so long first: attempts that break one after the other must not spin."""
+    """Backoff before the attempt, so that attempts which fail at once do not form a busy loop."""
     reattach: bool = False
-    """Take up the engine's own stream, which another VM began under this attempt's number."""
+    """Reattach to the stream at the engine that another VM started under this attempt number."""
     reattach_target: str | None = None
     reattach_after: int = 0
-    """How many output tokens of that stream are released already."""
+    """Number of output tokens of that stream that are released already."""
 
 
 @attrs.frozen(kw_only=True)
 class Release:
-    """Give these pieces to the caller."""
+    """Decision to send these pieces to the caller."""
 
     pieces: tuple[ReleasedPiece, ...]
 
 
 @attrs.frozen(kw_only=True)
 class CancelAttempt:
-    """Drop an attempt, and tell its engine."""
+    """Decision to drop an attempt and cancel it at its engine."""
 
     attempt: int
 
 
 @attrs.frozen(kw_only=True)
 class Restart:
-    """Tell the caller that what it holds is void and a new generation begins."""
+    """Decision to tell the caller to discard its tokens, because a new generation starts."""
 
     generation: int
 
 
 @attrs.frozen(kw_only=True)
 class Finish:
-    """The request is over."""
+    """Decision to end the request with an outcome."""
 
     outcome: Outcome
     finish_reason: str | None = None
@@ -125,20 +139,22 @@
 
 @attrs.frozen(kw_only=True)
 class GenerationLimits:
-    """Bounds on one request's resumes."""
+    """Limits on the attempts of one request."""
 
     attempts: int = 8
+    """Maximum number of attempts, hedged ones included."""
     resumes_within_hedge: int = 1
+    """Maximum number of hedged attempts that are open beside the first one."""
 
 
 @attrs.frozen(kw_only=True)
 class ResumePoint:
-    """What is known of a request that another VM began: enough to go on without a splice."""
+    """State of a request that another VM started, sufficient to continue the same answer."""
 
     generation: int
     attempt: int
     attempt_start: int
-    """The offset of that attempt's first token."""
+    """Offset in the answer of the first token of that attempt."""
     target: str
     model_version: str
     prompt_token_ids: tuple[int, ...]
--- a/lagoonlever/decisions/streams/life.py
+++ b/lagoonlever/decisions/streams/life.py
@@ -1,8 +1,8 @@
-"""The life of one stream whose events are not interpreted: attempts, position, resumes.
+"""State machine of one stream of opaque events: attempts, position of the caller, resumes.
 
-Pure: what happened goes in, the next step comes out. The same rules hold as for a
-generation of tokens: an event goes out only if it is the next one, an attempt that was
-given up gives nothing any more, and a stream is whole only when its engine ended it.
+It does no input or output: what happened is recorded, and the next step is returned. The rules
+are those of a token generation: an event is forwarded only if it is the next one, events of an
+abandoned attempt are dropped, and a stream is complete only when its engine ended it.
 """
 
 from __future__ import annotations
@@ -15,93 +15,113 @@
 from lagoonlever.decisions.streams.booked_runs import RunCopy
 
 NO_ENGINE_RETRY_S = 0.1
-"""While no engine is known, a stream that has begun looks again this often."""
+"""Interval in seconds at which a stream looks for an engine again while none can be chosen."""
 MOST_ROUNDS = 3
-"""How often all engines are tried for a stream that has not begun, with a pause between."""
+"""Number of times that all engines are tried, with a pause between, for a stream of which the
+caller has nothing yet. After them it is given up."""
 MOST_REFUSALS = 12
-"""Engines that answer that they are full; beyond this many, all of them are."""
+"""Number of refusals after which a stream is given up, as all engines are taken to be full."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Place:
-    """Choose an engine other than ``avoid`` and send the request there."""
+    """Step: choose an engine that is not in ``avoid`` and send the request there."""
 
     avoid: frozenset[str]
     prefer: str | None = None
-    """An engine that has read the prompt."""
+    """An engine that has the prompt in its cache."""
     after_loss: bool = False
+    """Whether an engine has received an earlier attempt."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class ResumeFrom:
-    """Send the request to the engine that holds this copy, if it still takes work."""
+    """Step: send the request to the engine that holds this copy, if it still accepts work."""
 
     copy: RunCopy
 
 
 @dataclass(frozen=True, kw_only=True)
 class WaitForEngine:
-    """No engine is known: look again after ``seconds``."""
+    """Step: no engine can be used now; ask for the next step again after ``seconds``."""
 
     seconds: float
 
 
 @dataclass(frozen=True, kw_only=True)
 class GiveUp:
-    """Nothing more is to be had; ``may_have_run`` says what the caller can be told."""
+    """Step: end the stream as failed.
+
+    ``may_have_run`` is true if an engine may have run the request. Only if it is false may the
+    caller be told that the request was not run.
+    """
 
     may_have_run: bool
     detail: str
     retry_after_s: float | None = None
-    """When its caller may come back; None for as soon as it likes."""
+    """Seconds after which the caller may retry; None if it may retry at once."""
 
 
 Step = Place | ResumeFrom | WaitForEngine | GiveUp
 
 
 class EventVerdict(enum.Enum):
-    """What to do with an event of an engine."""
+    """Decision on an event received from an engine."""
 
     FORWARD = "forward"
+    """The event is the next one; it is sent to the caller."""
     REPEATED = "repeated"
-    """The caller has it already; it is dropped."""
+    """The caller has the event already; it is dropped."""
     OUT_OF_ORDER = "out-of-order"
-    """An event before it is missing: this attempt can't be used."""
+    """An event before it is missing, so the attempt cannot be used any more."""
 
 
 MOST_MOVES = 2
-"""A run that finds each place taken by others stays at the third."""
+"""Maximum number of times that a run is moved before its first event.
+
+A run that finds each better engine taken by other runs stays at the third engine.
+"""
 
 
 HELD_RETRY_S = 0.1
+"""Interval in seconds at which an engine that has the copy, but is at capacity, is tried again."""
 MOST_HELD_ROUNDS = 10
-"""Then the prompt is read again elsewhere, which takes about as long."""
+"""Maximum number of such retries. After them the prompt is prefilled again elsewhere, which
+takes about as long as the retries did."""
 
 GAPS_NEEDED = 16
-"""Between events of one engine, before its pace is told."""
+"""Minimum number of gaps between events of one engine before its speed is computed."""
 DISTURBED = 0.9
-"""The gaps that a prompt of another run widens, where one is read for a tenth of the time."""
+"""Quantile of the gaps that shows decoding beside the prefill of another run.
+
+A prefill widens these gaps at an engine that prefills for a tenth of its time.
+"""
 APART = 2.5
-"""Gaps that differ by less show no prompt beside the stream."""
+"""Minimum ratio of the two quantiles. A smaller one does not show a prefill beside the stream."""
 UNDISTURBED = 0.1
-"""The part of the gaps that no prompt of another run widens, even at an engine that reads for
-most of its time. By a quarter of the gaps, and by announced lengths, prompts were refused that
-engines could bear: 0.898 of streams in time, against 0.950 (three days of engines 1.5 times
-slower, each way)."""
+"""Quantile of the gaps that shows decoding without the prefill of another run.
+
+It holds even at an engine that prefills for most of its time. With the quantile 0.25, and with
+announced lengths, prompts were refused that the engines could serve: 0.898 of the streams were
+in time, against 0.950 (over three days each, on engines 1.5 times slower).
+"""
 
 
 @attrs.define(kw_only=True)
 class StreamPace:
-    """What the caller sees of a stream's time, over all attempts; in monotonic seconds."""
+    """Timing of a stream's events as its caller sees it, over all attempts.
+
+    Points in time are seconds of the monotonic clock.
+    """
 
     first_at: float | None = None
     longest_pause_s: float = 0.0
     _last_at: float = 0.0
     _gaps: list[float] = attrs.field(factory=list)
-    """Between the events of the open attempt."""
+    """Seconds between successive events of the open attempt."""
 
     def event(self, now: float) -> None:
-        """Note an event that goes to the caller."""
+        """Record an event that is forwarded to the caller at ``now``."""
         if self.first_at is None:
             self.first_at = now
         else:
@@ -114,47 +134,57 @@
         self._gaps.clear()
 
     def event_s(self) -> float | None:
-        """Give what the engine takes for an event while it reads for nobody, or None."""
+        """Return the seconds per event while the engine prefills no other prompt.
+
+        Return None while too few gaps are known.
+        """
         if len(self._gaps) < GAPS_NEEDED:
             return None
         ordered = sorted(self._gaps)
         return ordered[int(UNDISTURBED * len(ordered))]
 
     def slowdown(self) -> float | None:
-        """Give how many times as long an event took beside a prompt, or None."""
+        """Return the factor by which a prefill of another run slows the events.
+
+        Return None while it is unknown, and if no prefill shows in the gaps.
+        """
         usual_s = self.event_s()
         if not usual_s:
             return None
         ordered = sorted(self._gaps)
-        times = ordered[int(DISTURBED * len(ordered))] / usual_s
-        return times if times >= APART else None
+        factor = ordered[int(DISTURBED * len(ordered))] / usual_s
+        return factor if factor >= APART else None
 
 
 @attrs.define(kw_only=True)
 class StreamLife:
-    """One request for a stream; ``position`` is the last event that the caller has whole."""
+    """State machine of one stream request.
+
+    ``position`` is the number of the last event that the caller has received completely.
+    """
 
     _repeatable: bool
     _max_attempts: int
     position: int | None = None
     begun: bool = False
-    """The head of an answer has gone to the caller."""
+    """Whether the head of the response was sent to the caller."""
     whole: bool = False
+    """Whether the stream ended completely."""
     runs: int = 0
-    """Attempts that may have run."""
+    """Number of attempts that an engine may have run: those sent and not refused."""
     sent: int = 0
-    """Attempts that reached an engine."""
+    """Number of attempts that were sent to an engine."""
     pace: StreamPace = attrs.field(factory=StreamPace)
     _refusals: int = 0
     _avoid: set[str] = attrs.field(factory=set)
     _copy: RunCopy | None = None
-    """The copy that the next attempt goes on from."""
+    """The KV-cache copy that the next attempt resumes from."""
     _growing: RunCopy | None = None
-    """The copy of the open attempt; there is none before its first event."""
+    """The copy that the engine of the open attempt keeps; usable from its first event on."""
     _prefer: str | None = None
     _moves: int = 0
     _stayed: set[str] = attrs.field(factory=set)
-    """Engines that were kept to once after they lost an answer."""
+    """Engines that were preferred once more after they had lost an answer."""
     _detail: str = ""
     _no_engine: bool = False
     _none_known: bool = False
@@ -172,9 +202,10 @@
         copy: RunCopy | None,
         prefer: str | None,
     ) -> StreamLife:
-        """Begin a stream whose caller may have a part of it already.
+        """Create the state of a stream whose caller may have a part of it already.
 
-        Its former run may have left a copy, and an engine that has read its prompt.
+        ``copy`` is a KV-cache copy left by its previous run, and ``prefer`` an engine that
+        has its prompt in its cache.
         """
         return cls(
             repeatable=repeatable,
@@ -186,11 +217,11 @@
 
     @property
     def detail(self) -> str:
-        """What ended the last attempt."""
+        """Why the last attempt ended."""
         return self._detail
 
     def next_step(self) -> Step:
-        """Give what to do now that no attempt is open."""
+        """Return what to do next; called while no attempt is open."""
         if self.runs and not self._repeatable:
             return self._give_up()
         if self.runs >= self._max_attempts or self._refusals >= MOST_REFUSALS:
@@ -208,31 +239,31 @@
         return Place(avoid=frozenset(self._avoid), prefer=self._prefer, after_loss=self.sent > 0)
 
     def copy_unusable(self) -> None:
-        """Note that the engine with the copy takes no work."""
+        """Discard the copy, as the engine that holds it accepts no work."""
         self._copy = None
 
     def no_engine(self) -> None:
-        """Note that there is no engine to choose: those that failed may be tried again."""
+        """Record that no engine could be chosen; the engines that failed may be tried again."""
         self._no_engine = True
         self._none_known = not self._avoid
         self._rounds += 1
         self._avoid.clear()
 
     def unreachable(self, engine: str, detail: str) -> None:
-        """Note that nothing could be sent to an engine.
+        """Record that nothing could be sent to an engine.
 
-        Counts as no refusal: when a data centre fails, its engines look idle and are
-        tried one after the other, each for some milliseconds, and a stream that was given
-        up after a dozen of them was told that no engine takes it while most were free.
+        This does not count as a refusal. When a data centre fails, its engines look idle and
+        are tried one after the other, each within milliseconds. Counted as refusals, a dozen
+        of them made streams fail with "no engine takes it" while most engines were free.
         """
         self._avoid.add(engine)
         self._copy = None
         self._detail = detail
 
     def held_back(self, engine: str) -> None:
-        """Note that an engine takes no more for now.
+        """Record that an engine is at capacity.
 
-        Where it holds the copy to go on from, a moment's wait costs less than to read again.
+        If it holds the copy to resume from, a short wait costs less than to prefill again.
         """
         self._detail = f"{engine} takes no more for now"
         if self._copy is None:
@@ -243,7 +274,10 @@
             self._copy = None
 
     def was_sent(self, *, copy: RunCopy | None) -> None:
-        """Note that a request is being written: from now on it may have run."""
+        """Record that a request is being written to an engine, which may run it from now on.
+
+        ``copy`` is the copy that the engine keeps of this attempt, if any.
+        """
         self.sent += 1
         self.runs += 1
         self._copy = None
@@ -252,15 +286,15 @@
         self.pace.attempt_begins()
 
     def flows(self) -> None:
-        """Note the first event of the open attempt: from now on its copy can be used."""
+        """Record the first event of the open attempt: its copy can be used from now on."""
         self._copy = self._growing
 
     def copied(self, copy: RunCopy) -> None:
-        """Note a copy of the open attempt that was made by a call."""
+        """Record an on-demand copy of the open attempt."""
         self._copy = copy
 
     def refused(self, engine: str, detail: str) -> None:
-        """Note that an engine says that it has not run the request."""
+        """Record that an engine refused the request, and so has not run it."""
         self.runs -= 1
         self._refusals += 1
         self._avoid.add(engine)
@@ -268,10 +302,11 @@
         self._detail = detail
 
     def lost(self, engine: str, detail: str, *, alive: bool = False, read: bool = False) -> None:
-        """Note that an attempt broke off; its run may be gone on from a copy.
+        """Record that an attempt broke off; its copy, if any, is kept to resume from.
 
-        An engine that lives and has read the prompt (``read``) is the next best place:
-        it only lost an answer. Once, as one that loses answers may lose the next too.
+        An engine that is ``alive`` and has prefilled the prompt (``read``) lost only the
+        response, and is preferred for the next attempt. It is preferred only once, as an
+        engine that loses responses may lose the next one, too.
         """
         self._detail = detail
         if alive and read and engine not in self._stayed:
@@ -287,20 +322,23 @@
 
     @property
     def may_resume(self) -> bool:
-        """Whether another attempt could go on from a copy."""
+        """Whether another attempt could resume from a copy."""
         return self.may_repeat and self._copy is not None
 
     @property
     def may_move(self) -> bool:
-        """Whether the open attempt may be left for a better place."""
+        """Whether the open attempt may be moved to a better engine."""
         return self.may_repeat and self._moves < MOST_MOVES
 
     def moved(self) -> None:
-        """Note that the open attempt was left, before its first event, for a better place."""
+        """Record that the open attempt was moved to a better engine before its first event."""
         self._moves += 1
 
     def event(self, event_id: int | None) -> EventVerdict:
-        """Judge an event; one without a number goes along with the others."""
+        """Return what to do with an event, and advance ``position`` if it is the next one.
+
+        An event without a number is forwarded.
+        """
         if event_id is None:
             return EventVerdict.FORWARD
         expected = (self.position or 0) + 1
--- a/lagoonlever/decisions/streams/resume.py
+++ b/lagoonlever/decisions/streams/resume.py
@@ -1,4 +1,8 @@
-"""From what is known of a request begun elsewhere to the point at which it goes on."""
+"""Resume points for requests that another VM started.
+
+A caller that reconnects sends its last event id and may send the tokens that it received.
+If they match, any VM can continue the answer without the state of the first VM.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +15,10 @@
 
 @attrs.frozen(kw_only=True)
 class HeldAnswer:
-    """What a returning caller holds of its answer; sent along so that any VM can go on."""
+    """The part of an answer that a caller received and sends back when it reconnects.
+
+    With it any VM can continue the answer.
+    """
 
     model_version: str
     prompt_token_ids: tuple[int, ...]
@@ -21,10 +28,10 @@
 def point_of_held(
     spec: GenerationSpec, held: HeldAnswer | None, last: EventId
 ) -> ResumePoint | None:
-    """Give the point of a caller that brought its tokens, if they are those of its event id.
+    """Return the resume point of a caller that sent its tokens, or None if they do not match.
 
-    Guards against a splice: the digest in the event id was computed by the VM
-    that released the tokens, so tokens that do not yield it are not continued.
+    The digest in the event id was computed by the VM that released the tokens. Tokens with
+    another digest are not continued, as that would join two different answers.
     """
     if held is None or len(held.token_ids) != last.offset:
         return None
--- a/lagoonlever/decisions/streams/silence.py
+++ b/lagoonlever/decisions/streams/silence.py
@@ -1,15 +1,15 @@
-"""Whether the silence of one attempt means that its engine is lost.
-
-An engine that crashes with its sockets closed is seen at once. One that goes dark, or
-loses an answer, is only silent, and a VM has too few streams on one engine to judge by
-the others. So a silence beyond the usual spacing is a reason to ask the engine for its
-report: a question costs next to nothing beside a stream that pauses too long, and an
-engine that lives answers in a few milliseconds and says whether the run goes on.
-
-The load pattern: an engine that makes an event every 30 ms alone makes one every 230 ms
-while it reads a prompt for somebody else, and on engines half as fast both are twice as
-long. So what counts as silence follows the spacing that a stream shows, within the pause
-that callers allow; a silence that the last events have shown is not asked about again.
+"""Decides whether the silence of one attempt means that its engine has lost the run.
+
+An engine that crashes with its sockets closed is detected at once. One that becomes
+unreachable, or loses a response, is only silent, and a VM has too few streams on one engine to
+compare them. So a silence longer than the usual gap between events makes the VM query the
+engine for its load report. The query costs little compared with a stream that pauses too long,
+and a live engine answers within milliseconds and reports whether it still runs the request.
+
+The threshold of silence follows the gaps of the stream itself, within the pause that callers
+accept: an engine that produces an event every 30 ms alone needs 230 ms for one while it
+prefills a prompt of another run, and both are twice as long on engines half as fast. Gaps as
+long as the recent ones do not cause a query.
 """
 
 from __future__ import annotations
@@ -20,77 +20,97 @@
 import attrs
 
 LEAST_SUSPECT_S = 0.12
-"""Four events of an idle engine."""
+"""Minimum silence before a query, in seconds: four events of an idle engine."""
 PART_OF_PAUSE = 0.5
-"""Of the pause that callers allow: the other half is for the question and the resume."""
+"""Share of the accepted pause after which the engine is queried.
+
+The other half is left for the query and the resume.
+"""
 PAUSE_ALLOWED_S = 0.7
-"""Where the operators' configuration allows no certain pause."""
+"""Pause that callers accept, in seconds, if the operators' configuration sets none."""
 SPACINGS = 2.5
+"""Number of mean gaps after which the engine is queried, within the limits above."""
 SHOWN = 1.3
-"""Of the mean spacing: no silence, however little is left of the pause that callers allow.
+"""Number of mean gaps that never cause a query, however little is left of the accepted pause.
 
-On engines that made an event every 0.46 s each one was waited for with a question: 3,202
-questions in a day of 160 streams.
+Without this limit, engines that produced an event every 0.46 s were queried before each event:
+3,202 queries in a day of 160 streams.
 """
 FADE = 0.3
-"""Weight of a new gap in the mean spacing."""
+"""Weight of a new gap in the exponential moving average of the gaps."""
 FIRST_ASK_S = 0.4
-"""After this, and this part of a usual reading: an engine is silent while it reads a prompt."""
+"""Minimum silence before the first event, in seconds, until the engine is queried.
+
+Also the factor of the usual prefill time after which it is queried if that is longer, as an
+engine is silent while it prefills a prompt.
+"""
 FIRST_ASK_AGAIN = 1.5
-"""Of the time until the first question: until the next one, while there is no event."""
+"""Interval between queries before the first event, as a factor of the delay of the first one."""
 PART_OF_OBJECTIVE = 0.25
-"""Of the time until a first event is late: a question waits no longer, as the prompt may have
-to be read elsewhere."""
+"""Maximum delay of the first query, as a share of the time objective of the first event.
+
+The rest of the time is needed because the prompt may have to be prefilled on another engine.
+"""
 FLOWING_ASK_AGAIN_S = 0.25
+"""Interval between queries after the first event, in seconds."""
 UNLISTED_S = 0.5
-"""Reports are some hundred milliseconds old; a run that is not listed after this is lost."""
+"""Silence in seconds after which a run that the engine's report does not list is lost.
+
+Reports are up to some hundred milliseconds old, so a shorter silence proves nothing.
+"""
 HELD_BACK_EVENTS = 3
+"""Number of events produced but not received that shows that the engine does not send them."""
 HELD_BACK_S = 0.6
-"""An engine that made this many events more than arrived, for so long, doesn't send them."""
+"""Minimum silence in seconds before undelivered events count as a loss."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class WaitUntil:
-    """Nothing to do before this time."""
+    """Step: nothing to do before the time ``at``."""
 
     at: float
 
 
 @dataclass(frozen=True, kw_only=True)
 class AskEngine:
-    """Ask the engine for its report."""
+    """Step: query the engine for its load report."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Lost:
-    """The attempt is lost, and why."""
+    """Step: abandon the attempt as lost, for ``reason``."""
 
     reason: str
     unanswered: bool = False
-    """The engine did not answer when it was asked."""
+    """Whether the engine did not answer the query."""
 
 
 SilenceStep = WaitUntil | AskEngine | Lost
 
 
 class Answer(enum.Enum):
-    """What an engine's report says of a run."""
+    """State of a run according to its engine's load report."""
 
     NONE = "none"
-    """No report came."""
+    """The engine did not answer the query."""
     RUNNING = "running"
+    """The report lists the run."""
     NOT_THERE = "not-there"
+    """The report does not list the run."""
     STARTED_AGAIN = "started-again"
-    """The engine is another process by now, which has nothing of before."""
+    """The engine was restarted as a new process, which has no earlier runs."""
     QUEUED = "queued"
-    """The engine has requests that wait; the run may be one of them."""
+    """The engine has queued requests, and the run may be one of them."""
     PREEMPTED = "preempted"
-    """It waits to be read again, and another engine holds its copy."""
+    """The run waits to be prefilled again, while another engine holds a copy of it."""
 
 
 @attrs.define(kw_only=True, eq=False)
 class StreamSilence:
-    """Judges one attempt; times are seconds of the monotonic clock."""
+    """Decides when the engine of one attempt is queried and when the attempt is lost.
+
+    Points in time are seconds of the monotonic clock.
+    """
 
     _sent_at: float
     _first_ask_s: float = FIRST_ASK_S
@@ -106,11 +126,11 @@
     _verdict: str | None = None
 
     def silence_s(self, now: float) -> float:
-        """Give how long the attempt has given nothing."""
+        """Return the seconds since the last event, or since the request was sent."""
         return now - self._last_at
 
     def event(self, now: float) -> None:
-        """Note an event."""
+        """Record an event of the attempt and schedule the next query."""
         if self._flowing:
             self._spacing_s += FADE * (now - self._last_at - self._spacing_s)
         self._flowing = True
@@ -119,12 +139,15 @@
         self._ask_at = now + self._suspect_s
 
     def suspect(self, now: float) -> None:
-        """Take another's loss of the engine, or of those beside it, as a reason to ask at once."""
+        """Query at once, because other streams lost this engine or engines near it.
+
+        One unanswered query is then enough to treat the attempt as lost.
+        """
         self._ask_at = min(self._ask_at, now)
         self._suspected = True
 
     def decide(self, now: float) -> SilenceStep:
-        """Give the next step."""
+        """Return the step to take at ``now``."""
         if self._verdict is not None:
             return Lost(reason=self._verdict, unanswered=self._unanswered > 0)
         if now < self._ask_at:
@@ -132,7 +155,11 @@
         return AskEngine()
 
     def answered(self, answer: Answer, now: float, *, events_ahead: int = 0) -> None:
-        """Take what the engine said; ``events_ahead`` it has made and we have not got."""
+        """Record the run's status as the engine reported it at ``now``.
+
+        ``events_ahead`` is the number of events that the engine produced and this VM has not
+        received.
+        """
         silent_s = now - self._last_at
         if answer is Answer.NONE:
             self._unanswered += 1
@@ -155,12 +182,17 @@
 
     @property
     def _suspect_s(self) -> float:
-        most_s = PART_OF_PAUSE * self._pause_allowed_s
+        """Silence in seconds after which the engine is queried."""
+        max_s = PART_OF_PAUSE * self._pause_allowed_s
         usual_s = max(LEAST_SUSPECT_S, SPACINGS * self._spacing_s)
-        return max(min(most_s, usual_s), SHOWN * self._spacing_s)
+        return max(min(max_s, usual_s), SHOWN * self._spacing_s)
 
 
 def first_ask_s(*, usual_reading_s: float, objective_s: float) -> float:
-    """Give how long an engine may be silent before the first event, until it is asked."""
-    later_s = max(FIRST_ASK_S, FIRST_ASK_S * usual_reading_s)
-    return max(FIRST_ASK_S, min(later_s, PART_OF_OBJECTIVE * objective_s))
+    """Return the silence before the first event, in seconds, after which an engine is queried.
+
+    ``usual_reading_s`` is the usual prefill time, ``objective_s`` the time within which the
+    first event should arrive.
+    """
+    delay_s = max(FIRST_ASK_S, FIRST_ASK_S * usual_reading_s)
+    return max(FIRST_ASK_S, min(delay_s, PART_OF_OBJECTIVE * objective_s))
--- a/lagoonlever/decisions/streams/time.py
+++ b/lagoonlever/decisions/streams/time.py
@@ -1,10 +1,9 @@
-"""Whether a stream can still be finished in the time that its caller has.
+"""Estimates whether a stream can still finish within its caller's deadline.
 
-The load that is answered: after a power loss of all VMs their callers wait for long,
-come back together with two seconds left, and each has a prompt of a second read before
-it is given up. Those readings serve nobody and delay the streams that can be served.
-So a stream that could not end in time on an idle engine, the fastest that was seen, is
-told so at once.
+After a power loss of all VMs their callers wait for long and reconnect together with two
+seconds left. Each would have a prompt prefilled for a second before it is given up, and these
+prefills serve no caller and delay the streams that can still be served. So a stream that could
+not finish in time even on an idle engine, at the best speed seen, is refused at once.
 """
 
 from __future__ import annotations
@@ -12,7 +11,10 @@
 from lagoonlever.decisions.engines.engine_paces import Pace
 
 SHORTEST = 0.6
-"""Of the announced length: answers are often shorter, and one that can end must not be refused."""
+"""Share of the announced answer length that is assumed at least.
+
+Answers are often shorter than announced, and a stream that can finish must not be refused.
+"""
 
 
 def least_time_s(
@@ -24,8 +26,12 @@
     event_tokens: int,
     cached: bool,
 ) -> float:
-    """Give the time that a stream needs at least; ``position`` events of it are told already."""
-    reading_s = 0.0 if cached else prompt_tokens * pace.prompt_token_s
-    done = position * event_tokens
-    left = max(float(event_tokens), SHORTEST * output_tokens - done)
-    return reading_s + left * pace.token_s
+    """Return the minimum time in seconds that a stream still needs.
+
+    ``position`` events of ``event_tokens`` tokens each were delivered already. If ``cached``,
+    the prompt needs no prefill.
+    """
+    prefill_s = 0.0 if cached else prompt_tokens * pace.prompt_token_s
+    delivered_tokens = position * event_tokens
+    remaining_tokens = max(float(event_tokens), SHORTEST * output_tokens - delivered_tokens)
+    return prefill_s + remaining_tokens * pace.token_s
