--- a/lagoonlever/decisions/streams/__init__.py
+++ b/lagoonlever/decisions/streams/__init__.py
@@ -1,1 +1,1 @@
-"""The life of a stream or generation: attempts, places, resumes, silences."""
+"""Lifecycle of streams and generations: attempts, placement, resumes, loss detection."""
--- a/lagoonlever/decisions/streams/booked_runs.py
+++ b/lagoonlever/decisions/streams/booked_runs.py
@@ -1,4 +1,4 @@
-"""What VMs tell each other of a run at an engine: where it is, what it needs, where its copy is."""
+"""Announcement of a run at an engine, as VMs exchange it: engine, size and KV-cache copy."""
 
 from __future__ import annotations
 
@@ -9,44 +9,49 @@
 
 @attrs.frozen(kw_only=True)
 class RunCopy:
-    """A copy of a run's memory: the engine that holds it, and what it is called by."""
+    """A copy of a run's KV cache: the engine that holds it, and its name there."""
 
     holder: str
+    """The id of the engine that holds the copy."""
     address: Address
-    """Of the engine that the name belongs to: the holder, or the engine that made the copy."""
+    """Address of the engine that assigned the name: the holder, or the one that made the copy."""
     name: str
+    """The id by which an engine finds the copy."""
     holder_started_ms: int | None = None
-    """The start of the holder's process that has the copy; None where it wasn't known."""
+    """Start time of the holder's process that received the copy; None if it was unknown."""
 
     def is_void(self, engine: str, started_ms: int | None) -> bool:
-        """Tell whether the copy is gone, if its holder is an engine that started then."""
+        """Check whether the copy is lost because its holder was restarted.
+
+        ``started_ms`` is the start time of the process of ``engine``; None if it is unknown.
+        """
         known = self.holder_started_ms
         return engine == self.holder and None not in (known, started_ms) and known != started_ms
 
 
 @attrs.frozen(kw_only=True)
 class BookedRun:
-    """One run at an engine; sizes in tokens."""
+    """One run at an engine; sizes are in tokens."""
 
     request: str
     vm: str
-    """The VM that relays it."""
+    """The VM that relays the run to its caller."""
     engine: str
     prompt_tokens: int
-    """What the engine has to read: little for a run that goes on from a copy."""
+    """Tokens that the engine has to prefill: few for a run that resumes from a copy."""
     memory_tokens: int
-    """What the run needs at its longest."""
+    """KV-cache size of the run at its longest."""
     service: str = ""
     part: str | None = None
-    """The id of the prompt's own part, by which a caller that returns is known."""
+    """The id of the prompt's own segment, by which a reconnecting caller is recognised."""
     copy: RunCopy | None = None
-    """Of use once the run has given its first event."""
+    """The run's KV-cache copy, which is usable once the run has produced its first event."""
     flowing: bool = False
-    """It has given its first event."""
+    """Whether the run has produced its first event."""
     engine_started_ms: int | None = None
-    """The start of the engine's process, as known when the run was sent."""
+    """Start time of the engine's process, as known when the run was sent."""
 
     @property
     def copy_at(self) -> str | None:
-        """The engine that holds the copy."""
+        """The id of the engine that holds the copy, or None."""
         return self.copy.holder if self.copy else None
--- a/lagoonlever/decisions/streams/copy_keeping.py
+++ b/lagoonlever/decisions/streams/copy_keeping.py
@@ -1,11 +1,10 @@
-"""Whether a run's memory is safe at a second engine, and when it is copied again.
-
-The load that is answered: all engines of a data centre crash together every few
-seconds, and a stream lives as long as that. A copy that an engine makes while the run
-goes on (a growing copy) is lost with its holder, and the next crash then costs the
-whole prompt: a second of reading and a pause beyond what callers allow. So a run whose
-holder is lost or leaves is copied once more, by a call, and that copy is refreshed
-before it lapses.
+"""Policy for the KV-cache copy of a run at a second engine: when it is made again on demand.
+
+If all engines of a data centre crash together every few seconds, a stream lives through several
+crashes. The copy that an engine updates while the run continues (an incremental copy) is lost
+with its holder, and the next crash then costs the prefill of the whole prompt: a second, and a
+pause longer than callers accept. So a run whose holder is lost or leaves is copied again by a
+call to its engine (an on-demand copy), and that copy is refreshed before it expires.
 """
 
 from __future__ import annotations
@@ -15,33 +14,38 @@
 import attrs
 
 CHECK_S = 0.2
-"""How often a run's copy is looked at."""
+"""Interval in seconds at which a run's copy is checked."""
 REFRESH_SHARE = 0.4
-"""Of the time that an engine keeps a copy nobody uses: two refreshes may fail."""
+"""Share of an unused copy's retention time after which it is refreshed: two refreshes may fail."""
 RETRY_S = 0.5
-"""After a copy that failed: the engine had no room, or a copy was being made."""
+"""Seconds until a failed copy is tried again: the engine had no capacity, or a copy was being
+made."""
 
 
 class CopyKind(enum.Enum):
-    """How a copy came to be."""
+    """How a copy is made."""
 
     NONE = "none"
+    """There is no copy."""
     GROWING = "growing"
-    """The engine keeps it up to date by itself."""
+    """Incremental: the engine keeps the copy up to date by itself."""
     CALLED = "called"
-    """Made by a call; as old as that."""
+    """On demand: made by a call, and not updated after it."""
 
 
 LAST_COPY_S = 0.6
-"""Before the run's engine leaves: one call may fail and be tried again."""
+"""Time in seconds before the run's engine leaves at which a last copy is made.
+
+It leaves time for one call to fail and be retried.
+"""
 
 
 @attrs.define(kw_only=True)
 class CopyKeeping:
-    """The copy of one run; times are seconds of the monotonic clock."""
+    """State of the copy of one run; points in time are seconds of the monotonic clock."""
 
     _kept_s: float
-    """How long an engine keeps a called copy."""
+    """How long an engine retains an on-demand copy, in seconds."""
     kind: CopyKind = CopyKind.NONE
     holder: str | None = None
     _made_at: float = float("-inf")
@@ -49,12 +53,15 @@
     _leaves_at: float = float("inf")
 
     def growing(self, holder: str | None) -> None:
-        """Note that a new attempt has its engine copy the run to a holder."""
+        """Record a new attempt whose engine copies the run to ``holder``; None for no copy."""
         self.kind = CopyKind.GROWING if holder else CopyKind.NONE
         self.holder = holder
 
     def due(self, now: float, *, holder_usable: bool) -> bool:
-        """Tell whether the run is to be copied by a call now."""
+        """Check whether an on-demand copy of the run is due.
+
+        ``holder_usable`` is false if the holder of the present copy is lost or leaves.
+        """
         if now < self._retry_at:
             return False
         if self.kind is CopyKind.NONE or not holder_usable:
@@ -66,15 +73,15 @@
         return stale or self._made_at < last_at <= now
 
     def engine_leaves(self, at: float) -> None:
-        """Note when the run's own engine leaves: the copy has to be fresh by then."""
+        """Record when the run's own engine leaves, so that a last copy is made before that."""
         self._leaves_at = at
 
     def called(self, holder: str, now: float) -> None:
-        """Note that a call has copied the run."""
+        """Record an on-demand copy that succeeded."""
         self.kind = CopyKind.CALLED
         self.holder = holder
         self._made_at = now
 
     def failed(self, now: float) -> None:
-        """Note that a call has not copied it."""
+        """Record an on-demand copy that failed, and delay the next one."""
         self._retry_at = now + RETRY_S
--- a/lagoonlever/decisions/streams/orphans.py
+++ b/lagoonlever/decisions/streams/orphans.py
@@ -1,7 +1,8 @@
-"""Streams at engines whose VM died: known to a peer, and cancelled if nobody takes them up.
+"""Cancellation of orphaned streams, which run at an engine after their VM has died.
 
-A VM tells one peer of each stream that has run for a while. The records are soft
-state: a lost one costs the engine work of a stream that nobody reads.
+A VM reports each stream that has run for a while to one peer. If the VM dies and no other VM
+takes the stream over within a grace time, the peer cancels it at its engine. The records are
+soft state: if one is lost, the engine finishes a stream that no VM reads.
 """
 
 from __future__ import annotations
@@ -15,15 +16,20 @@
 from lagoonlever.identity import Incarnation
 
 RECORD_AFTER_S = 2.0
-"""Shorter streams end by themselves before anybody would cancel them."""
+"""Age in seconds at which a stream is reported; shorter streams end before a peer could act."""
 GRACE_S = 20.0
-"""Longer than a caller takes to come back at another VM, and that VM to tell of it."""
+"""Time in seconds after the loss of its owner until a stream is cancelled.
+
+It is longer than a caller takes to reconnect to another VM, and that VM to report the stream.
+"""
 FORGET_S = 900.0
+"""Age in seconds at which the record of a live owner is removed, in case its end was not
+reported."""
 
 
 @attrs.frozen(kw_only=True)
 class StreamRecord:
-    """A stream at an engine, by the engine's own id of it."""
+    """A stream at an engine, by the id that the engine gave it."""
 
     stream_id: str
     engine: Address
@@ -39,12 +45,12 @@
 
 @attrs.define(kw_only=True)
 class StreamReporter:
-    """What this VM has told of its own streams, and to whom."""
+    """Tracks which of this VM's own streams were reported, and to which peer."""
 
     _told: dict[str, Incarnation] = attrs.field(factory=dict)
 
     def due(self, open_since: dict[str, float], now: float) -> list[str]:
-        """Give the streams that are to be told of now."""
+        """Return the ids of the open streams that are old enough to report and unreported."""
         return [
             stream_id
             for stream_id, since in open_since.items()
@@ -52,37 +58,37 @@
         ]
 
     def told(self, stream_id: str, holder: Incarnation) -> None:
-        """Note that a holder was told of a stream."""
+        """Record that a stream was reported to the peer ``holder``."""
         self._told[stream_id] = holder
 
     def ended(self, open_since: dict[str, float]) -> list[tuple[str, Incarnation]]:
-        """Give the streams that are over, with whom to tell, once."""
-        over = [(name, at) for name, at in self._told.items() if name not in open_since]
-        for name, _ in over:
+        """Return the reported streams that have ended, each with its peer, and forget them."""
+        ended = [(name, at) for name, at in self._told.items() if name not in open_since]
+        for name, _ in ended:
             del self._told[name]
-        return over
+        return ended
 
 
 @attrs.define(kw_only=True)
 class OrphanHolder:
-    """The records that this VM holds for others."""
+    """Stream records that this VM keeps for its peers."""
 
     _kept: dict[str, _Kept] = attrs.field(factory=dict)
 
     @property
     def records(self) -> int:
-        """How many records are held."""
+        """The number of records."""
         return len(self._kept)
 
     def opened(self, record: StreamRecord, *, owner: Incarnation, now: float) -> None:
-        """Take a record; a later owner of the same stream replaces the former one."""
+        """Add a record; a later owner of the same stream replaces the previous one."""
         self._kept[record.stream_id] = _Kept(record=record, owner=owner, told_at=now)
 
     def closed(self, stream_ids: Iterable[str], *, owner: Incarnation) -> None:
-        """Drop records whose owner says that the streams are over.
+        """Remove the records of streams whose owner reports that they have ended.
 
-        Only its last owner may say so: the former one of a stream that was taken
-        over ends its own reading while the stream goes on.
+        Only the last owner of a stream can do so: when a stream was taken over, its previous
+        owner stops reading it while the stream continues.
         """
         for stream_id in stream_ids:
             kept = self._kept.get(stream_id)
@@ -90,7 +96,10 @@
                 del self._kept[stream_id]
 
     def due(self, view: MemberView, now: float) -> list[StreamRecord]:
-        """Give the streams to cancel now: their owner has been gone for the grace time."""
+        """Return the streams to cancel, whose owner has been lost for the grace time.
+
+        Their records are removed, so each stream is returned once.
+        """
         orphans: list[StreamRecord] = []
         for stream_id, kept in list(self._kept.items()):
             if not _is_lost(kept.owner, view):
@@ -105,7 +114,10 @@
         return orphans
 
     def paused(self, seconds: float) -> None:
-        """Count this VM's own pause as no absence of others."""
+        """Exclude a pause of this VM from the time for which owners have been lost.
+
+        While it was paused, this VM could not learn that an owner was alive again.
+        """
         for kept in self._kept.values():
             if kept.lost_at is not None:
                 kept.lost_at += seconds
--- a/lagoonlever/decisions/streams/placement.py
+++ b/lagoonlever/decisions/streams/placement.py
@@ -1,7 +1,8 @@
-"""Which VM keeps the record of another VM's stream: a rendezvous hash over the members.
+"""Choice of the VMs that keep the record of another VM's stream, by rendezvous hashing.
 
-Every VM computes the same ranking for a request, without a lookup; where two
-views differ, their rankings differ only by the members on which they disagree.
+Every VM computes the same ranking of the members for a request, without a lookup. If the
+membership views of two VMs differ, their rankings differ only in the members that one of them
+lacks.
 """
 
 from __future__ import annotations
@@ -14,15 +15,15 @@
 
 
 def _score(request_id: str, name: str) -> int:
-    """Give the rendezvous score of a VM's name for a request; the highest holds."""
+    """Return the rendezvous score of a VM's name for a request; the highest score is chosen."""
     return xxhash.xxh3_64_intdigest(f"{request_id}|{name}".encode())
 
 
 def holders(request_id: str, view: MemberView, *, count: int) -> tuple[Member, ...]:
-    """Give the members that keep a record for this VM, best first.
+    """Return up to ``count`` members to keep a record for this VM, best first.
 
-    Never this VM; members of other data centres first, so that the record
-    survives the loss of this one.
+    This VM is excluded. Members of other data centres come first, so that the record
+    survives the loss of this data centre.
     """
     own = view.own_member
     others = [member for member in view.alive if member.incarnation != view.own]
@@ -33,7 +34,7 @@
 
 
 def _rounds(request_id: str, members: Iterable[Member]) -> list[list[Member]]:
-    """Give the best of each data centre, then the second best of each, and so on."""
+    """Return the best member of each data centre, then the second best of each, and so on."""
     ranked = sorted(members, key=lambda m: (_score(request_id, m.name), m.name), reverse=True)
     rounds: list[list[Member]] = []
     taken: dict[str, int] = {}
--- a/lagoonlever/decisions/streams/run_placement.py
+++ b/lagoonlever/decisions/streams/run_placement.py
@@ -1,14 +1,14 @@
-"""Where a run goes, where its copy goes, and whether it may go at all: one answer to one ask.
+"""Placement of a run: the engine for it, the engine for its KV-cache copy, or a refusal.
 
-The load that is answered: of hundreds of VMs each places a stream every few seconds, and
-each placement needs to know the runs of all. Told to everyone, a run is some five messages
-to every VM, and a VM spends more on hearing of runs than on its own callers: 16.6 messages a
-second at 195 VMs with 19 streams a second, 12.7 of 29 ms of processor time a VM and second.
-So in a very large fleet a few VMs hold the book of runs, and the others ask one of them:
-one question and one answer for each attempt.
+Each of hundreds of VMs places a stream every few seconds, and each placement needs to know the
+runs of all VMs. If every VM is told of every run, a run costs some five messages to every VM,
+and a VM spends more on them than on its own callers: 16.6 messages a second at 195 VMs with 19
+streams a second, which took 12.7 of 29 ms of CPU time per VM and second. So in a very large
+fleet a few VMs keep the register of runs and the others send one of them a placement request
+for each attempt.
 
-The asked VM books the place at once, for a moment, so that those who ask after it, as after
-a crash of engines, are not sent to the same engine.
+The VM that answers reserves the placement at once, for a short time. Otherwise VMs that ask in
+the same moment, as after a crash of engines, would be sent to the same engine.
 """
 
 from __future__ import annotations
@@ -28,66 +28,77 @@
 from lagoonlever.decisions.targets.registry import TargetRegistry
 
 BEGINS_WITHIN_S = 0.3
-"""An engine that reads on for so long is ready: the next prompt is there when it ends."""
+"""Maximum seconds of prefill work left at an engine that counts as ready.
+
+The next prompt then arrives before the engine runs out of work.
+"""
 
 
 @attrs.frozen(kw_only=True)
 class RunAsk:
-    """What one attempt of a stream needs; sizes in tokens."""
+    """Request to place one attempt of a stream; sizes are in tokens."""
 
     request: str
+    """The id of the caller's request."""
     service: str
     prompt_tokens: int
-    """What an engine has to read unless it has read the prompt."""
+    """Size of the prompt, which an engine has to prefill unless it has the prompt cached."""
     memory_tokens: int
-    """What the run needs at its longest."""
+    """KV-cache size of the run at its longest."""
     part: str | None = None
-    """The id of the prompt's own part."""
+    """The id of the prompt's own segment."""
     avoid: tuple[str, ...] = ()
+    """Engines that must not be chosen."""
     prefer: str | None = None
-    """An engine that has read the prompt."""
+    """An engine that has the prompt in its cache."""
     crowd: bool = False
-    """Others choose at the same moment, as after a loss."""
+    """Whether other requests choose at the same moment, as after a crash; the choice is then
+    spread at random."""
     settled: str | None = None
-    """The engine where it runs in any case: the one with its copy, or the one that runs it."""
+    """The engine that is already decided on: it holds the run's copy, or runs it now."""
     attempt: bool = True
-    """False for a run that goes on, and only needs another place for its copy."""
+    """False for a run that continues and only needs another engine for its copy."""
     repeat: bool = False
-    """The request was sent before, so the budget of repeats must bear one more."""
+    """Whether the request was sent before, so that it needs a share of the retry budget."""
     copies: bool = True
-    """Its memory is to be copied to another engine, as it grows or by a call."""
+    """Whether its KV cache is copied to another engine, incrementally or on demand."""
     on_trial: bool = False
-    """It goes to a version that is on trial, if there is one."""
+    """Whether it goes to the version that is on trial, if there is one."""
     allowed_s: float | None = None
-    """Of a new prompt: the time that its callers usually have; None for one that goes on."""
+    """For a new prompt the time in seconds that its callers usually allow; None for a retry."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Placed:
-    """Where the run goes; ``expected_s`` until its first event."""
+    """Outcome: the run goes to ``engine``, and its first event is expected in ``expected_s``."""
 
     engine: str
     copy_to: str | None = None
+    """The engine that is to hold the KV-cache copy; None for no copy."""
     expected_s: float = 0.0
     choice: UnevenChoice | None = None
-    """Set where another engine would have been taken, were all alike."""
+    """Set if another engine would have been chosen if all engines were equally fast."""
     by_line: bool = False
-    """It waited its turn among all VMs, so nobody else was given the same room."""
+    """Whether the placement came from the queue of all VMs, which grants a capacity only once."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class NoEngine:
-    """No engine can be chosen."""
+    """Outcome: no engine can be chosen."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class BudgetSpent:
-    """The budget of repeats, which all VMs share, bears no more for a moment."""
+    """Outcome: the retry budget, which all VMs share, is used up for now."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class Overloaded:
-    """Engines read for a ``share`` of their time already, and ``most`` leaves answers time."""
+    """Outcome: the engines prefill for too much of their time to accept a new prompt.
+
+    ``share`` is the share of their time in which they prefill, ``most`` the highest share with
+    which answers still finish in time.
+    """
 
     share: float
     most: float
@@ -95,7 +106,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class NoRoom:
-    """There are engines, and none of them can begin the run well now."""
+    """Outcome: there are engines, but none of them has the capacity to start the run now."""
 
 
 RunOutcome = Placed | NoEngine | BudgetSpent | Overloaded
@@ -103,20 +114,24 @@
 
 @attrs.frozen(kw_only=True)
 class PlacementView:
-    """What a decision rests on."""
+    """State of this VM that a placement is decided on."""
 
     book: EngineBook
     window: RetryWindow
+    """The retry budget."""
     targets: TargetRegistry
     limits: EngineLimits
     vms: int = 1
-    """Those that share the window's slack; 1 where the window counts the runs of all."""
+    """Number of VMs that share the window's slack; 1 if the window counts the runs of all VMs."""
     ranked: bool = False
-    """Streams of the service differ in rank."""
+    """Whether streams of the service differ in rank."""
 
 
 def place_run(ask: RunAsk, view: PlacementView, now: float) -> RunOutcome:
-    """Decide on one attempt; ``now`` is in seconds of the monotonic clock."""
+    """Place one attempt, or return why it cannot be placed.
+
+    ``now`` is in seconds of the monotonic clock.
+    """
     if ask.repeat and not view.window.allows(now, vms=view.vms):
         return BudgetSpent()
     overloaded = _overload(ask, view, now)
@@ -128,7 +143,10 @@
 
 
 def place_where_ready(ask: RunAsk, view: PlacementView, now: float) -> RunOutcome | NoRoom:
-    """Decide on an attempt that can wait in line for an engine that begins it well."""
+    """Place an attempt that can wait in the queue for an engine that starts it soon.
+
+    Return `NoRoom` while every engine has more prefill work left than `BEGINS_WITHIN_S`.
+    """
     if ask.repeat and not view.window.allows(now, vms=view.vms):
         return BudgetSpent()
     serving = view.targets.serving(ask.service, on_trial=ask.on_trial)
@@ -138,14 +156,14 @@
 
 
 def ready_rate(service: str, view: PlacementView, now: float) -> float:
-    """Give the prompts a second that the engines of a service can read that aren't avoided."""
+    """Return the prompts per second that a service's engines can prefill; avoided ones excluded."""
     avoidance = view.book.avoidance
-    calm = [e for e in view.targets.serving(service) if not avoidance.is_avoided(e.id, now)]
-    return reading_rate(len(calm), view.book.paces.usual_reading_s(service))
+    usable = [e for e in view.targets.serving(service) if not avoidance.is_avoided(e.id, now)]
+    return reading_rate(len(usable), view.book.paces.usual_reading_s(service))
 
 
 def reserved_run(ask: RunAsk, placed: Placed, *, vm: str) -> BookedRun:
-    """Give the run that a place is kept for until its VM has sent it."""
+    """Return the run to reserve a placement for until its VM reports that it was sent."""
     return BookedRun(
         request=ask.request,
         vm=vm,
@@ -203,26 +221,26 @@
 
 
 def _overload(ask: RunAsk, view: PlacementView, now: float) -> Overloaded | None:
-    """Refuse a new prompt while engines read so much that answers can't end in time.
+    """Refuse a new prompt while engines prefill so much that answers cannot finish in time.
 
-    By the time that usual callers have. By what is left to this one, callers that came
-    back after a loss with five seconds were refused while engines read for a quarter of
-    their time.
+    The limit follows the time that callers usually allow. When it followed the time left to
+    this caller, callers that reconnected after a loss with five seconds left were refused
+    while engines prefilled for only a quarter of their time.
     """
     if ask.allowed_s is None:
         return None
     paces = view.book.paces
-    making_s = paces.usual_making_s(ask.service)
-    if making_s is None:
+    decode_s = paces.usual_making_s(ask.service)
+    if decode_s is None:
         return None
-    most = most_share(
-        making_s=making_s,
+    max_load_share = most_share(
+        making_s=decode_s,
         reading_s=paces.usual_reading_s(ask.service),
         allowed_s=ask.allowed_s,
         slowdown=paces.slowdown(ask.service),
     )
     engines = len(view.targets.serving(ask.service))
     load = view.book.reading_load(ask.service, engines=engines, now=now)
-    if admits(load, most=most):
+    if admits(load, most=max_load_share):
         return None
-    return Overloaded(share=load.share, most=most)
+    return Overloaded(share=load.share, most=max_load_share)
--- a/lagoonlever/decisions/streams/run_records.py
+++ b/lagoonlever/decisions/streams/run_records.py
@@ -1,4 +1,9 @@
-"""The records of runs, by request and by the prompt's own part, and when they are forgotten."""
+"""Records of the runs at engines, by request and by prompt segment.
+
+Placement needs the open runs of each engine, those whose prompts are not prefilled yet, and for
+a caller that reconnects the engine that may still have its prompt in its cache. A record is kept
+after the end of its run for as long as the prompt may be cached.
+"""
 
 from __future__ import annotations
 
@@ -9,26 +14,33 @@
 from lagoonlever.decisions.streams.booked_runs import BookedRun
 
 RESERVED_S = 1.0
-"""How long a place is kept for a run that another VM asked it for: it is sent within the time
-of a connection, or asks again."""
+"""How long a placement is reserved for a run of another VM.
+
+That VM sends the run within the time that a connection takes, or asks for another placement.
+"""
 
 
 @attrs.define(kw_only=True)
 class RunRecord:
-    """One run as last heard of; times are seconds of the monotonic clock."""
+    """Latest known state of one run; points in time are seconds of the monotonic clock."""
 
     run: BookedRun
     since: float
-    """When it was booked."""
+    """When the run was recorded or its placement reserved."""
     ended_at: float | None = None
     whole: bool = False
+    """Whether the run ended with a complete answer."""
     beside_prompts: bool = False
-    """Its engine had another prompt to read meanwhile."""
+    """Whether its engine had another prompt to prefill at the same time."""
     sent: bool = True
-    """False while it has only a place that was kept for it, and never reached an engine."""
+    """False while the run has only a reserved placement and was never sent to an engine."""
 
     def is_over(self, now: float, *, keep_s: float) -> bool:
-        """Tell whether nothing of it can be cached any more, or it was never sent."""
+        """Check whether the record can be removed.
+
+        That is ``keep_s`` seconds after the run ended, when no engine has its prompt cached any
+        more, or after its reservation lapsed.
+        """
         if not self.sent:
             return now - self.since > RESERVED_S
         return self.ended_at is not None and now - self.ended_at > keep_s
@@ -36,27 +48,28 @@
 
 @attrs.define(kw_only=True)
 class RunRecords:
-    """The last record of each request."""
+    """Store of the latest run record of each request."""
 
     _keep_s: float
-    """How long an ended run is remembered: as long as its prompt may still be cached."""
+    """How long the record of an ended run is kept: as long as its prompt may be cached."""
     _records: dict[str, RunRecord] = attrs.field(factory=dict)
     _by_part: dict[str, str] = attrs.field(factory=dict)
+    """The id of the last request of each prompt segment."""
 
     def __iter__(self) -> Iterator[RunRecord]:
-        """Give every record."""
+        """Return an iterator over all records."""
         return iter(self._records.values())
 
     def find(self, request: str) -> RunRecord | None:
-        """Give the record of a request, or None."""
+        """Return the record of a request, or None."""
         return self._records.get(request)
 
     def last_of(self, part: str) -> RunRecord | None:
-        """Give the last record of a prompt's own part, or None."""
+        """Return the last record of a prompt segment, or None."""
         return self._records.get(self._by_part.get(part, ""))
 
     def unread_at(self, engine: str) -> list[RunRecord]:
-        """Give the open runs at an engine whose prompts are not read yet."""
+        """Return the open runs at an engine whose prompts are not prefilled yet."""
         return [
             record
             for record in self._records.values()
@@ -64,7 +77,7 @@
         ]
 
     def unread(self) -> dict[str, list[RunRecord]]:
-        """Give the open runs whose prompts are not read yet, by engine."""
+        """Return the open runs whose prompts are not prefilled yet, by engine."""
         by_engine: dict[str, list[RunRecord]] = {}
         for record in self._records.values():
             if record.ended_at is None and not record.run.flowing:
@@ -72,24 +85,24 @@
         return by_engine
 
     def enter(self, run: BookedRun, now: float) -> None:
-        """Begin the record of a run that was sent to an engine."""
+        """Record a run that was sent to an engine, in place of an earlier one of its request."""
         self._enter(run, now)
         if run.part is not None:
             self._by_part[run.part] = run.request
 
     def reserve(self, run: BookedRun, now: float) -> None:
-        """Begin the record of a run that another VM is about to send."""
-        former = self._records.get(run.request)
-        self._enter(run, now).sent = former is not None and former.sent
+        """Record a reserved placement for a run that another VM is about to send."""
+        previous = self._records.get(run.request)
+        self._enter(run, now).sent = previous is not None and previous.sent
 
     def forget_others(self, vm: str) -> None:
-        """Forget the runs of all VMs but one."""
+        """Remove the runs of all VMs but ``vm``."""
         for record in list(self._records.values()):
             if record.run.vm != vm:
                 self._forget(record)
 
     def expire(self, now: float) -> None:
-        """Forget what is over."""
+        """Remove the records that have lapsed at ``now``."""
         for record in list(self._records.values()):
             if record.is_over(now, keep_s=self._keep_s):
                 self._forget(record)
