--- a/lagoonlever/tests/generation_harness.py
+++ b/lagoonlever/tests/generation_harness.py
@@ -1,4 +1,4 @@
-"""Engines in miniature that carry out what the life of a generation decides."""
+"""Simulated engines that carry out the decisions of the generation state machine."""
 
 from __future__ import annotations
 
@@ -38,8 +38,8 @@
 
 
 def life(cls: type[GenerationLife] = GenerationLife, **options: object) -> GenerationLife:
-    given = {"spec": spec(), "limits": GenerationLimits(attempts=50), "rng": random.Random(3)}
-    return cls(**{**given, **options})
+    defaults = {"spec": spec(), "limits": GenerationLimits(attempts=50), "rng": random.Random(3)}
+    return cls(**{**defaults, **options})
 
 
 def expected(
@@ -52,7 +52,7 @@
 
 @attrs.define
 class EngineStream:
-    """What an engine makes of one dispatch, token by token."""
+    """Simulated engine stream of one dispatch, token by token."""
 
     dispatch: Dispatch
     version: str = "v1"
@@ -69,7 +69,7 @@
         self.decoder = TextDecoder(prompt=start)
 
     def step(self, life: GenerationLife) -> list[Decision]:
-        """Send the next token."""
+        """Pass the next token to the state machine and return its decisions."""
         attempt = self.dispatch.attempt
         decisions: list[Decision] = []
         if not self.opened:
@@ -91,7 +91,10 @@
 
 @attrs.define
 class Harness:
-    """Carries out decisions on engines that never forget a stream, even a cancelled one."""
+    """Carries out decisions on simulated engines, which continue even cancelled streams.
+
+    So a test can let a cancelled stream send late tokens.
+    """
 
     life: GenerationLife
     streams: dict[int, EngineStream] = attrs.field(factory=dict)
--- a/lagoonlever/tests/generation_tests.py
+++ b/lagoonlever/tests/generation_tests.py
@@ -1,4 +1,7 @@
-"""The life of a generation: whatever breaks when, the released tokens are one answer's prefix."""
+"""Tests of the generation state machine.
+
+Whatever fails and when, the released tokens are a prefix of one answer.
+"""
 
 from __future__ import annotations
 
@@ -32,8 +35,8 @@
 )
 
 
-class KeepsLateTokens(GenerationLife):
-    """The guard off: an attempt that was given up is still believed."""
+class AcceptsLateTokens(GenerationLife):
+    """Fault: tokens of a closed attempt are accepted as those of an open one."""
 
     def chunk(self, *, attempt: int, **values: object) -> list[Decision]:
         return super().chunk(
@@ -41,22 +44,25 @@
         )
 
 
-class ForgetsThePrefix(GenerationLife):
-    """The guard off: an engine goes on from the prompt alone."""
+class DropsPrefix(GenerationLife):
+    """Fault: an engine continues from the prompt without the released tokens."""
 
     def _dispatch(self, **options: object) -> Dispatch:
         return attrs.evolve(super()._dispatch(**options), prefix=())
 
 
-class TakesAnyVersion(GenerationLife):
-    """The guard off: an engine with another version goes on with the answer."""
+class AcceptsAnyVersion(GenerationLife):
+    """Fault: an engine with another model version continues the answer."""
 
     def opened(self, *, model_version: str, **values: object) -> list[Decision]:
         return super().opened(model_version="v1", **values)
 
 
-def thaw_at(offset: int, cls: type[GenerationLife]) -> list[int]:
-    """Freeze an engine at an offset, go on elsewhere, and thaw it in the middle of that."""
+def released_with_freeze_at(offset: int, cls: type[GenerationLife]) -> list[int]:
+    """Return the tokens released if an engine freezes at ``offset`` and recovers later.
+
+    It sends its late tokens while another engine continues the answer.
+    """
     harness = Harness(life(cls)).begin()
     frozen = harness.newest()
     harness.step(frozen, offset)
@@ -68,26 +74,26 @@
 
 
 @pytest.mark.parametrize("offset", range(LENGTH))
-def test_a_thawed_engine_adds_nothing(offset: int) -> None:
-    """A dealer reads a sentence twice in a lot's summary.
+def test_an_engine_that_recovers_adds_nothing(offset: int) -> None:
+    """A caller receives a sentence twice.
 
-    The engine froze, its stream went on at another engine, then it thawed and its
-    late tokens were appended. Tokens count only from a live attempt.
+    An engine froze and its stream was continued on another engine. Then it recovered, and its
+    late tokens were appended. Only tokens of an open attempt may be released.
     """
-    assert thaw_at(offset, GenerationLife) == list(expected())
+    assert released_with_freeze_at(offset, GenerationLife) == list(expected())
 
 
-def test_without_the_guard_a_thawed_engine_shows() -> None:
+def test_accepting_late_tokens_corrupts_the_answer() -> None:
     broken = 0
     for offset in range(1, LENGTH - 4):
         try:
-            broken += thaw_at(offset, KeepsLateTokens) != list(expected())
+            broken += released_with_freeze_at(offset, AcceptsLateTokens) != list(expected())
         except AssertionError:
             broken += 1
     assert broken
 
 
-def kill_at(offset: int, cls: type[GenerationLife]) -> list[int]:
+def released_with_crash_at(offset: int, cls: type[GenerationLife]) -> list[int]:
     harness = Harness(life(cls)).begin()
     harness.step(harness.newest(), offset)
     attempt = harness.newest().dispatch.attempt
@@ -97,26 +103,26 @@
 
 
 @pytest.mark.parametrize("offset", range(LENGTH))
-def test_a_killed_engine_loses_and_repeats_nothing(offset: int) -> None:
-    """A district digest lacks a word, or has one twice, where its engine died.
+def test_a_crashed_engine_loses_and_repeats_nothing(offset: int) -> None:
+    """An answer lacks a word, or has one twice, where its engine crashed.
 
-    The engine dies after any token, also within a character of several tokens. The
-    next one must go on from exactly the released tokens.
+    The engine crashes after any token, also within a character of several tokens. The next
+    engine must continue from exactly the released tokens.
     """
-    assert kill_at(offset, GenerationLife) == list(expected())
+    assert released_with_crash_at(offset, GenerationLife) == list(expected())
 
 
-def test_without_the_prefix_a_killed_engine_shows() -> None:
+def test_continuing_without_the_prefix_corrupts_the_answer() -> None:
     outputs = []
     for offset in range(3, 6):
         try:
-            outputs.append(kill_at(offset, ForgetsThePrefix))
+            outputs.append(released_with_crash_at(offset, DropsPrefix))
         except AssertionError:
             outputs.append([])
     assert list(expected()) not in outputs
 
 
-def version_changes(cls: type[GenerationLife]) -> Harness:
+def harness_after_version_change(cls: type[GenerationLife]) -> Harness:
     harness = Harness(life(cls, spec=spec(accepts_restart=True)), versions=["v1", "v2"]).begin()
     harness.step(harness.newest(), 7)
     first = harness.newest().dispatch.attempt
@@ -125,28 +131,28 @@
     return harness
 
 
-def test_another_model_version_never_goes_on_with_an_answer() -> None:
-    """A price changes its meaning in mid-digest.
+def test_another_model_version_never_continues_an_answer() -> None:
+    """An answer changes its meaning in the middle.
 
-    The engine died during a rollout and the next one runs the new version. Its
-    stream is dropped before its first token; only the same version may go on.
+    The engine crashed during a rollout and the next one runs the new version. Its stream must
+    be dropped before its first token; only the same version may continue the answer.
     """
-    harness = version_changes(GenerationLife)
+    harness = harness_after_version_change(GenerationLife)
     harness.run_out()
     assert harness.released == list(expected())
 
 
-def test_without_the_version_check_a_mixture_shows() -> None:
-    harness = version_changes(TakesAnyVersion)
+def test_without_the_version_check_two_versions_are_mixed() -> None:
+    harness = harness_after_version_change(AcceptsAnyVersion)
     harness.run_out()
     assert harness.released != list(expected())
 
 
-def test_a_new_generation_is_told_where_no_engine_can_go_on() -> None:
-    """An analyst reads a digest whose halves contradict each other.
+def test_a_restart_is_announced_if_no_engine_can_continue() -> None:
+    """The two halves of an answer contradict each other.
 
-    The last engine of the answer's version died. A new generation is begun, but
-    the caller is told that what it holds is void.
+    The last engine of the answer's model version crashed, and a new generation is started. The
+    caller must be told to discard the tokens that it has.
     """
     harness = Harness(life(spec=spec(accepts_restart=True))).begin()
     harness.step(harness.newest(), 9)
@@ -162,7 +168,7 @@
     assert harness.released == list(expected(version="v2", seed=seed))
 
 
-def test_a_caller_that_knows_no_restart_gets_failed_instead() -> None:
+def test_a_caller_that_accepts_no_restart_gets_failed_instead() -> None:
     harness = Harness(life()).begin()
     harness.step(harness.newest(), 9)
     for cause in (BreakCause.BROKEN, BreakCause.NO_TARGET, BreakCause.NO_TARGET):
@@ -172,11 +178,11 @@
     assert isinstance(harness.finish.outcome, Failed)
 
 
-def test_not_run_is_told_only_while_nothing_was_sent() -> None:
-    """A clerk is told "not run" and asks again, and the work is done twice.
+def test_not_run_is_reported_only_while_nothing_was_sent() -> None:
+    """A caller receives "not run" and retries, and the work is done twice.
 
-    Only a failed connect proves that the engine has nothing; once a request was
-    written, the honest word is unknown.
+    Only a failed connect proves that the engine received nothing. Once a request was written,
+    the outcome must be "unknown".
     """
     unsent = life()
     (first,) = unsent.start()
@@ -189,22 +195,22 @@
 
 
 def test_an_engine_that_refused_a_connection_is_not_chosen_again() -> None:
-    """A digest fails although a healthy engine stands beside the dead ones.
+    """A request fails although one engine is healthy.
 
-    The stream's engine froze; the next choice fell on a dead engine that is still
-    listed. Its connects failed one after the other until the attempts were used up.
+    The stream's engine froze, and the next choice was a dead engine that is still listed.
+    Connections to it failed one after the other until the attempts were used up.
     """
-    life_ = life()
-    (first,) = life_.start()
+    machine = life()
+    (first,) = machine.start()
     assert isinstance(first, Dispatch)
-    life_.placed(attempt=first.attempt, target="dead")
-    (second,) = life_.broken(attempt=first.attempt, cause=BreakCause.CONNECT_FAILED)
+    machine.placed(attempt=first.attempt, target="dead")
+    (second,) = machine.broken(attempt=first.attempt, cause=BreakCause.CONNECT_FAILED)
     assert isinstance(second, Dispatch)
     assert second.avoid == {"dead"}
 
 
 def test_a_stop_string_across_the_resume_point_still_stops() -> None:
-    """A summary runs on past its end marker because the engine died within the marker."""
+    """An answer continues past its stop string because the engine crashed within that string."""
     whole = expected_output(model_version="v1", prompt=PROMPT, max_tokens=LENGTH, seed=SEED)
     stop = whole.text[8:16]
     cut = whole.text.index(stop)
@@ -220,43 +226,43 @@
 
 
 class GenerationMachine(RuleBasedStateMachine):
-    """Engines step, die, freeze, thaw and refuse in any order; the caller moves between VMs."""
+    """Engines send, crash, freeze, recover and refuse in any order; the caller changes VMs."""
 
     def __init__(self) -> None:
         super().__init__()
         self.harness = Harness(life(spec=spec(accepts_restart=True)), versions=["v1", "v1", "v2"])
         self.harness.begin()
 
-    def _going_on(self) -> bool:
+    def _is_open(self) -> bool:
         return self.harness.finish is None
 
-    @precondition(_going_on)
+    @precondition(_is_open)
     @rule(pick=st.integers(0, 7), times=st.integers(1, 4))
     def some_engine_sends(self, pick: int, times: int) -> None:
         streams = list(self.harness.streams.values())
         self.harness.step(streams[pick % len(streams)], times)
 
-    @precondition(_going_on)
+    @precondition(_is_open)
     @rule(times=st.integers(1, 6))
     def newest_engine_sends(self, times: int) -> None:
         self.harness.step(self.harness.newest(), times)
 
-    @precondition(_going_on)
+    @precondition(_is_open)
     @rule(cause=st.sampled_from(BreakCause))
-    def an_attempt_breaks(self, cause: BreakCause) -> None:
+    def an_attempt_fails(self, cause: BreakCause) -> None:
         attempt = self.harness.life.live_attempts[0]
         self.harness.carry_out(self.harness.life.broken(attempt=attempt, cause=cause))
 
-    @precondition(_going_on)
+    @precondition(_is_open)
     @rule(dead=st.booleans())
     def an_engine_freezes(self, dead: bool) -> None:
         attempt = self.harness.life.live_attempts[0]
         decide = self.harness.life.declared_dead if dead else self.harness.life.suspected
         self.harness.carry_out(decide(attempt=attempt))
 
-    @precondition(_going_on)
+    @precondition(_is_open)
     @rule()
-    def the_vm_dies_and_the_caller_returns(self) -> None:
+    def the_vm_crashes_and_the_caller_reconnects(self) -> None:
         answer = self.harness.life.answer
         if answer is None or not answer.pieces:
             return
@@ -268,28 +274,30 @@
         )
         point = point_of_held(self.harness.life.spec, held, last.event_id)
         assert isinstance(point, ResumePoint)
-        old = self.harness
-        self.harness = Harness(life(spec=old.life.spec, resume_point=point), versions=["v1", "v2"])
-        self.harness.released = old.released
-        self.harness.restarts = old.restarts
+        previous = self.harness
+        self.harness = Harness(
+            life(spec=previous.life.spec, resume_point=point), versions=["v1", "v2"]
+        )
+        self.harness.released = previous.released
+        self.harness.restarts = previous.restarts
         self.harness.begin()
 
     @precondition(lambda self: self.harness.finish is not None)
     @rule()
-    def the_next_request_begins(self) -> None:
+    def the_next_request_starts(self) -> None:
         self.__init__()
 
     @invariant()
     def released_is_a_prefix_of_one_answer(self) -> None:
-        life_ = self.harness.life
-        if life_.answer is None:
+        machine = self.harness.life
+        if machine.answer is None:
             assert not self.harness.released
             return
-        whole = expected(version=life_.answer.model_version, seed=life_.seed)
+        whole = expected(version=machine.answer.model_version, seed=machine.seed)
         assert tuple(self.harness.released) == whole[: len(self.harness.released)]
 
     @invariant()
-    def done_means_whole(self) -> None:
+    def done_means_complete(self) -> None:
         finish = self.harness.finish
         if finish is not None and isinstance(finish.outcome, Done):
             assert len(self.harness.released) == LENGTH
--- a/lagoonlever/tests/orphans_tests.py
+++ b/lagoonlever/tests/orphans_tests.py
@@ -1,4 +1,4 @@
-"""Streams of VMs that died: cancelled once and in time, and never under a VM that lives."""
+"""Tests of orphaned streams: cancelled once, after the grace time, and not while their VM lives."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 STREAMS = ("s1", "s2", "s3")
 
 
-def incarnation(name: str, life: int = 1) -> Incarnation:
-    return Incarnation(name=name, started_ms=life, nonce=1)
+def incarnation(name: str, started_ms: int = 1) -> Incarnation:
+    return Incarnation(name=name, started_ms=started_ms, nonce=1)
 
 
 def view(states: dict[Incarnation, MemberState]) -> MemberView:
@@ -37,12 +37,12 @@
 
 
 class OrphanMachine(RuleBasedStateMachine):
-    """Owners die and are replaced, streams move between owners, the holder pauses."""
+    """Owners die and are replaced, streams move between owners, and the holder pauses."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 1000.0
-        self.lives = dict.fromkeys(NAMES, 1)
+        self.incarnations = dict.fromkeys(NAMES, 1)
         self.states = {incarnation(name): MemberState.ALIVE for name in NAMES}
         self.lost_since: dict[Incarnation, float] = {}
         self.owners: dict[str, Incarnation] = {}
@@ -50,7 +50,7 @@
 
     @rule(stream=st.sampled_from(STREAMS), name=st.sampled_from(NAMES))
     def open(self, stream: str, name: str) -> None:
-        owner = incarnation(name, self.lives[name])
+        owner = incarnation(name, self.incarnations[name])
         if self.states[owner] is MemberState.DEAD:
             return
         self.owners[stream] = owner
@@ -59,50 +59,50 @@
 
     @rule(stream=st.sampled_from(STREAMS), name=st.sampled_from(NAMES))
     def close(self, stream: str, name: str) -> None:
-        owner = incarnation(name, self.lives[name])
+        owner = incarnation(name, self.incarnations[name])
         self.holder.closed([stream], owner=owner)
         if self.owners.get(stream) == owner:
             del self.owners[stream]
 
     @rule(name=st.sampled_from(NAMES), state=st.sampled_from(MemberState))
     def change(self, name: str, state: MemberState) -> None:
-        owner = incarnation(name, self.lives[name])
+        owner = incarnation(name, self.incarnations[name])
         self.states[owner] = state
         if state is MemberState.DEAD:
             self.lost_since.setdefault(owner, self.now)
         else:
             self.lost_since.pop(owner, None)
-        self.look()
+        self.check()
 
     @rule(name=st.sampled_from(NAMES))
     def replace(self, name: str) -> None:
-        """Start a new life of a VM: the old one is over, whatever was heard of it."""
-        old = incarnation(name, self.lives[name])
-        self.lives[name] += 1
-        del self.states[old]
-        self.states[incarnation(name, self.lives[name])] = MemberState.ALIVE
-        self.lost_since.setdefault(old, self.now)
-        self.look()
+        """Restart a VM: its previous incarnation is over, whatever its last known state."""
+        previous = incarnation(name, self.incarnations[name])
+        self.incarnations[name] += 1
+        del self.states[previous]
+        self.states[incarnation(name, self.incarnations[name])] = MemberState.ALIVE
+        self.lost_since.setdefault(previous, self.now)
+        self.check()
 
     @rule(seconds=st.floats(0.5, GRACE_S))
     def wait(self, seconds: float) -> None:
         self.now += seconds
-        self.look()
+        self.check()
 
     @rule(seconds=st.floats(1.0, 100.0))
     def pause(self, seconds: float) -> None:
-        """Pause the holder, which does not hear meanwhile whether owners came back."""
+        """Pause the holder, which meanwhile cannot learn whether owners are alive again."""
         self.now += seconds
         self.holder.paused(seconds)
         self.lost_since = {owner: at + seconds for owner, at in self.lost_since.items()}
-        self.look()
+        self.check()
 
-    def look(self) -> None:
+    def check(self) -> None:
         due = self.holder.due(view(self.states), self.now)
         for record in due:
             owner = self.owners.pop(record.stream_id)
-            assert owner in self.lost_since, "the stream of a VM that lives was cancelled"
-            assert self.now - self.lost_since[owner] >= GRACE_S - 0.001, "before its time"
+            assert owner in self.lost_since, "the stream of a live VM was cancelled"
+            assert self.now - self.lost_since[owner] >= GRACE_S - 0.001, "cancelled too early"
         for stream, owner in self.owners.items():
             lost_s = self.now - self.lost_since.get(owner, self.now)
             assert lost_s < GRACE_S + 0.001, f"{stream} was not cancelled"
@@ -112,12 +112,12 @@
 LIMITS = settings(max_examples=150, stateful_step_count=25)
 
 
-def test_orphans_are_cancelled_in_time_and_nothing_else_is() -> None:
+def test_orphans_and_no_other_streams_are_cancelled_in_time() -> None:
     run_state_machine_as_test(OrphanMachine, settings=LIMITS)
 
 
-def test_without_the_check_of_the_last_owner_a_stream_is_forgotten(monkeypatch) -> None:
-    """A former owner ends its reading and says so; the stream goes on under the next one."""
+def test_without_the_check_of_the_last_owner_a_record_is_lost(monkeypatch) -> None:
+    """A previous owner reports the end of its stream, which continues under the next owner."""
 
     def closed(self, stream_ids, *, owner) -> None:
         for stream_id in stream_ids:
@@ -128,13 +128,13 @@
         run_state_machine_as_test(OrphanMachine, settings=LIMITS)
 
 
-def test_without_the_grace_time_a_returning_caller_loses_its_stream(monkeypatch) -> None:
+def test_without_the_grace_time_a_reconnecting_caller_loses_its_stream(monkeypatch) -> None:
     monkeypatch.setattr(orphans, "GRACE_S", 0.0)
     with pytest.raises(AssertionError):
         run_state_machine_as_test(OrphanMachine, settings=LIMITS)
 
 
-def test_only_long_streams_are_told_of_and_each_end_once() -> None:
+def test_only_long_streams_are_reported_and_each_end_only_once() -> None:
     reporter = StreamReporter()
     open_since = {"short": 10.0, "long": 5.0}
     now = 5.0 + RECORD_AFTER_S
--- a/lagoonlever/tests/placement_tests.py
+++ b/lagoonlever/tests/placement_tests.py
@@ -1,4 +1,4 @@
-"""Tests of the placement of copies, and of the addresses that callers are told."""
+"""Tests of the choice of peers for stream records, and of the entry addresses given to callers."""
 
 from __future__ import annotations
 
@@ -45,10 +45,10 @@
 def test_two_views_differ_in_the_holders_only_by_the_member_that_one_lacks(
     fleet: list[Member], data: st.DataObject, count: int, request_id: str
 ) -> None:
-    """An engine goes on with a stream that nobody reads, long after its VM has died.
+    """An engine continues a stream that no VM reads, long after the stream's VM has died.
 
-    The VM told one peer of the stream, and another of its end, because a third
-    member had appeared between. Only that member may change whom it tells.
+    The VM reported the stream to one peer and its end to another, because a third member had
+    appeared in between. A member that appears may change the choice only to itself.
     """
     writer = data.draw(st.integers(0, len(fleet) - 1))
     unseen = data.draw(st.integers(0, len(fleet) - 1).filter(lambda i: i != writer))
@@ -62,7 +62,7 @@
         assert chosen_with_fewer == chosen
 
 
-def test_records_stand_in_other_data_centers() -> None:
+def test_records_are_kept_in_other_data_centers() -> None:
     fleet = [member(i, f"dc-{i % 3}") for i in range(9)]
     for request in range(50):
         chosen = holders(f"r{request}", view(fleet), count=2)
@@ -73,16 +73,16 @@
     st.lists(st.sampled_from(list(MemberState)), min_size=1, max_size=12),
     st.integers(0, 2**32),
 )
-def test_an_answer_never_names_a_leaving_or_dead_vm(states: list[MemberState], seed: int) -> None:
+def test_an_answer_never_has_a_leaving_or_dead_vm(states: list[MemberState], seed: int) -> None:
     members = [member(i, f"dc-{i % 3}", state) for i, state in enumerate(states)]
     answer = entry_addresses(view(members), settings=AddressesSettings(), random=Random(seed))
     by_address = {m.http: m for m in members}
-    told = [by_address[address] for address in answer.addresses]
+    returned = [by_address[address] for address in answer.addresses]
 
-    assert all(m.state in (MemberState.ALIVE, MemberState.SUSPECT) for m in told)
+    assert all(m.state in (MemberState.ALIVE, MemberState.SUSPECT) for m in returned)
     if any(m.state is MemberState.ALIVE for m in members):
-        assert all(m.state is MemberState.ALIVE for m in told)
-    assert len(set(told)) == len(told) <= 3
+        assert all(m.state is MemberState.ALIVE for m in returned)
+    assert len(set(returned)) == len(returned) <= 3
 
 
 def test_answers_are_spread_by_spare_capacity_and_data_center() -> None:
@@ -92,16 +92,16 @@
     random = Random(1)
     for _ in range(3000):
         answer = entry_addresses(view(members), settings=AddressesSettings(), random=random)
-        told = [m for a in answer.addresses for m in members if m.http == a]
-        assert len({m.data_center for m in told}) == 3
-        first[told[0].load] += 1
+        returned = [m for a in answer.addresses for m in members if m.http == a]
+        assert len({m.data_center for m in returned}) == 3
+        first[returned[0].load] += 1
 
     assert 0.60 < first[0.0] / 3000 < 0.69
     assert 0.28 < first[0.5] / 3000 < 0.37
     assert first[1.0] > 0
 
 
-def test_a_lone_leaving_vm_names_no_address() -> None:
+def test_a_single_leaving_vm_returns_no_address() -> None:
     lone = [attrs.evolve(member(0), state=MemberState.LEAVING)]
     answer = entry_addresses(view(lone), settings=AddressesSettings(), random=Random(0))
     assert answer.addresses == ()
--- a/lagoonlever/tests/run_placement_tests.py
+++ b/lagoonlever/tests/run_placement_tests.py
@@ -1,4 +1,4 @@
-"""One attempt's place: by room and reading, kept for the asker, within budget and load."""
+"""Tests of the placement of one attempt: capacity, reservation, retry budget and load limit."""
 
 from __future__ import annotations
 
@@ -28,15 +28,17 @@
 from lagoonlever.tests.base import at
 
 LIMITS = EngineLimits(slots=12, memory_tokens=55_000, copies=True)
-ASK = RunAsk(request="r1", service="engines", prompt_tokens=5_000, memory_tokens=6_000, part="p1")
+REQUEST = RunAsk(
+    request="r1", service="engines", prompt_tokens=5_000, memory_tokens=6_000, part="p1"
+)
 
 
-def engine(name: str, place: str, *, draining: bool = False) -> ListedTarget:
+def engine(name: str, data_center: str, *, draining: bool = False) -> ListedTarget:
     return ListedTarget(
         id=name,
         service="engines",
         address=Address(host="10.0.0.1", port=8000 + int(name[1:])),
-        data_center=place,
+        data_center=data_center,
         draining=draining,
     )
 
@@ -53,125 +55,132 @@
     )
 
 
-def booked(ask: RunAsk, placed: Placed) -> BookedRun:
-    return attrs.evolve(reserved_run(ask, placed, vm="vm-1"), prompt_tokens=ask.prompt_tokens)
+def sent_run(request: RunAsk, placed: Placed) -> BookedRun:
+    return attrs.evolve(
+        reserved_run(request, placed, vm="vm-1"), prompt_tokens=request.prompt_tokens
+    )
 
 
-def test_a_place_is_kept_for_the_vm_that_asked() -> None:
+def test_a_placement_is_reserved_for_the_vm_that_asked() -> None:
     """Three VMs lose their engines in the same crash and ask the same hub within a millisecond.
 
-    None of them has told of its new run yet. Sent to the same engine each prompt would
-    wait for the other two.
+    None of them has announced its new run yet. If all were sent to the same engine, each
+    prompt would wait for the other two.
     """
-    seen = view()
+    context = view()
     chosen = []
     for number in range(3):
-        ask = attrs.evolve(ASK, request=f"r{number}", part=f"p{number}")
-        outcome = place_run(ask, seen, 0.0)
+        request = attrs.evolve(REQUEST, request=f"r{number}", part=f"p{number}")
+        outcome = place_run(request, context, 0.0)
         assert isinstance(outcome, Placed)
-        seen.book.reserve(reserved_run(ask, outcome, vm=f"vm-{number}"), 0.0)
+        context.book.reserve(reserved_run(request, outcome, vm=f"vm-{number}"), 0.0)
         chosen.append(outcome.engine)
     assert sorted(chosen) == ["e1", "e2", "e3"]
 
 
-def test_a_place_that_is_never_used_is_given_to_others() -> None:
-    """The VM that asked dies before it sends anything: nobody tells of an end."""
-    seen = view()
+def test_an_unused_reservation_lapses() -> None:
+    """The VM that asked dies before it sends anything, so no VM announces the run's end."""
+    context = view()
     for name in ("e1", "e2", "e3"):
-        run = reserved_run(attrs.evolve(ASK, request=f"r-{name}"), Placed(engine=name), vm="vm-1")
-        seen.book.reserve(run, 0.0)
+        run = reserved_run(
+            attrs.evolve(REQUEST, request=f"r-{name}"), Placed(engine=name), vm="vm-1"
+        )
+        context.book.reserve(run, 0.0)
     for name in ("e2", "e3"):
-        seen.book.begin(booked(attrs.evolve(ASK, request=f"s-{name}"), Placed(engine=name)), 0.1)
-    seen.book.expire(RESERVED_S + 0.1)
-    outcome = place_run(ASK, seen, RESERVED_S + 0.1)
+        context.book.begin(
+            sent_run(attrs.evolve(REQUEST, request=f"s-{name}"), Placed(engine=name)), 0.1
+        )
+    context.book.expire(RESERVED_S + 0.1)
+    outcome = place_run(REQUEST, context, RESERVED_S + 0.1)
     assert isinstance(outcome, Placed) and outcome.engine == "e1"
 
 
-def test_a_kept_place_is_no_request_no_repeat_and_no_run_to_go_on_from() -> None:
-    """Counted when it is asked for and again when it is sent, each stream would be a repeat.
+def test_a_reservation_is_no_request_no_retry_and_no_run_to_resume() -> None:
+    """A stream is recorded when its placement is reserved and again when it is sent.
 
-    The budget of repeats would be spent by streams that were never repeated.
+    If both counted, each stream would count as a retry, and streams that were never retried
+    would use up the retry budget.
     """
     book = view().book
     placed = Placed(engine="e1")
-    book.reserve(reserved_run(ASK, placed, vm="vm-1"), 0.0)
+    book.reserve(reserved_run(REQUEST, placed, vm="vm-1"), 0.0)
     assert not book.knows("r1")
     assert book.open_runs == ()
     assert book.last_run_of("p1") is None
-    book.begin(booked(ASK, placed), 0.01)
+    book.begin(sent_run(REQUEST, placed), 0.01)
     assert book.knows("r1")
-    book.reserve(reserved_run(ASK, Placed(engine="e2"), vm="vm-1"), 0.5)
+    book.reserve(reserved_run(REQUEST, Placed(engine="e2"), vm="vm-1"), 0.5)
     assert book.knows("r1")
 
 
-def test_a_run_is_not_beside_the_place_that_was_kept_for_it() -> None:
-    """A reading beside another prompt tells no pace; its own kept place is no other prompt."""
+def test_a_run_does_not_share_its_prefill_with_its_own_reservation() -> None:
+    """A prefill beside another prompt is no measurement; its own reservation is no other prompt."""
     book = view().book
     before = book.paces.reading_s("engines", "e1", 5_000, 1.0)
-    book.reserve(reserved_run(ASK, Placed(engine="e1"), vm="vm-1"), 0.0)
-    book.begin(booked(ASK, Placed(engine="e1")), 0.0)
+    book.reserve(reserved_run(REQUEST, Placed(engine="e1"), vm="vm-1"), 0.0)
+    book.begin(sent_run(REQUEST, Placed(engine="e1")), 0.0)
     book.flows("r1", 3.0)
     assert book.paces.reading_s("engines", "e1", 5_000, 3.0) > before
 
 
-def test_a_repeat_beyond_the_budget_waits() -> None:
-    seen = view()
-    repeat = attrs.evolve(ASK, repeat=True)
-    assert isinstance(place_run(repeat, seen, 0.0), Placed)
+def test_a_retry_beyond_the_budget_waits() -> None:
+    context = view()
+    retry = attrs.evolve(REQUEST, repeat=True)
+    assert isinstance(place_run(retry, context, 0.0), Placed)
     for _ in range(5):
-        seen.window.repeat(0.0)
-    assert isinstance(place_run(repeat, seen, 0.0), BudgetSpent)
-    assert isinstance(place_run(ASK, seen, 0.0), Placed)
+        context.window.repeat(0.0)
+    assert isinstance(place_run(retry, context, 0.0), BudgetSpent)
+    assert isinstance(place_run(REQUEST, context, 0.0), Placed)
 
 
-def test_a_run_that_stays_only_gets_a_place_for_its_copy() -> None:
-    """Its engine leaves: nothing new is sent there, but the run that goes on needs a copy."""
-    seen = view(engine("e1", "a", draining=True), engine("e2", "b"))
-    outcome = place_run(attrs.evolve(ASK, settled="e1", attempt=False), seen, 0.0)
+def test_a_run_that_stays_at_its_engine_is_placed_only_for_its_copy() -> None:
+    """Its engine leaves and gets no new runs, but the run that continues there needs a copy."""
+    context = view(engine("e1", "a", draining=True), engine("e2", "b"))
+    outcome = place_run(attrs.evolve(REQUEST, settled="e1", attempt=False), context, 0.0)
     assert outcome == Placed(engine="e1", copy_to="e2")
 
 
 def test_copies_follow_losses_only_where_streams_differ_in_rank() -> None:
-    """Guards against a change for services whose work is all alike."""
-    few = attrs.evolve(LIMITS, memory_tokens=6_500)
-    alike = attrs.evolve(view(), limits=few)
+    """Services whose streams all have the same rank must be placed as before."""
+    small_engines = attrs.evolve(LIMITS, memory_tokens=6_500)
+    equal_ranks = attrs.evolve(view(), limits=small_engines)
     for gone in ("e8", "e9"):
-        alike.book.avoidance.failed(gone, 0.0)
-    ask = attrs.evolve(ASK, settled="e1", attempt=False)
-    outcome = place_run(ask, alike, 0.0)
+        equal_ranks.book.avoidance.failed(gone, 0.0)
+    request = attrs.evolve(REQUEST, settled="e1", attempt=False)
+    outcome = place_run(request, equal_ranks, 0.0)
     assert isinstance(outcome, Placed) and outcome.copy_to is None
-    outcome = place_run(ask, attrs.evolve(alike, ranked=True), 0.0)
+    outcome = place_run(request, attrs.evolve(equal_ranks, ranked=True), 0.0)
     assert isinstance(outcome, Placed) and outcome.copy_to is not None
 
 
-def test_a_run_is_copied_by_a_call_also_where_engines_copy_none_as_they_grow() -> None:
-    """Engines of this service copy a run only when they are called; its holder has left."""
-    seen = view()
-    only_called = attrs.evolve(seen, limits=attrs.evolve(LIMITS, copies=False, moves=True))
-    outcome = place_run(attrs.evolve(ASK, settled="e1", attempt=False), only_called, 0.0)
+def test_a_run_is_copied_on_demand_if_engines_make_no_incremental_copies() -> None:
+    """Engines of this service copy a run only on demand, and the holder of its copy has left."""
+    context = view()
+    on_demand_only = attrs.evolve(context, limits=attrs.evolve(LIMITS, copies=False, moves=True))
+    outcome = place_run(attrs.evolve(REQUEST, settled="e1", attempt=False), on_demand_only, 0.0)
     assert isinstance(outcome, Placed) and outcome.copy_to is not None
 
 
-def test_a_copy_whose_holder_was_lost_is_not_gone_on_from() -> None:
-    seen = view()
-    seen.book.avoidance.failed("e2", 0.0)
-    assert place_run(attrs.evolve(ASK, settled="e2", repeat=True), seen, 0.1) == NoEngine()
+def test_a_run_is_not_resumed_from_a_copy_whose_holder_was_lost() -> None:
+    context = view()
+    context.book.avoidance.failed("e2", 0.0)
+    assert place_run(attrs.evolve(REQUEST, settled="e2", repeat=True), context, 0.1) == NoEngine()
 
 
 def test_a_request_that_may_run_once_gets_no_copy() -> None:
-    outcome = place_run(attrs.evolve(ASK, copies=False), view(), 0.0)
+    outcome = place_run(attrs.evolve(REQUEST, copies=False), view(), 0.0)
     assert isinstance(outcome, Placed) and outcome.copy_to is None
 
 
 def test_only_a_new_prompt_is_refused_for_load() -> None:
-    """Engines read without a pause; a stream that has begun must go on all the same."""
-    seen = view(engine("e1", "a"))
-    book = seen.book
+    """Engines prefill without a pause; a stream that has started must continue nevertheless."""
+    context = view(engine("e1", "a"))
+    book = context.book
     for number in range(4 * LEAST_PROMPTS):
-        ask = attrs.evolve(ASK, request=f"r-{number}", part=None)
-        book.begin(booked(ask, Placed(engine="e1")), 0.1 * number)
-        book.flows(ask.request, 0.1 * number + 1.0)
-        book.end(ask.request, 0.1 * number + 2.0, whole=True, token_s=0.004, tokens=1_000)
+        request = attrs.evolve(REQUEST, request=f"r-{number}", part=None)
+        book.begin(sent_run(request, Placed(engine="e1")), 0.1 * number)
+        book.flows(request.request, 0.1 * number + 1.0)
+        book.end(request.request, 0.1 * number + 2.0, whole=True, token_s=0.004, tokens=1_000)
     now = 0.1 * 4 * LEAST_PROMPTS
-    assert isinstance(place_run(attrs.evolve(ASK, allowed_s=25.0), seen, now), Overloaded)
-    assert isinstance(place_run(ASK, seen, now), Placed)
+    assert isinstance(place_run(attrs.evolve(REQUEST, allowed_s=25.0), context, now), Overloaded)
+    assert isinstance(place_run(REQUEST, context, now), Placed)
--- a/lagoonlever/tests/stream_life_tests.py
+++ b/lagoonlever/tests/stream_life_tests.py
@@ -1,4 +1,4 @@
-"""The life of an opaque stream, as a state machine over everything that can happen to it."""
+"""Tests of the state machine of an opaque stream, over everything that can happen to it."""
 
 from __future__ import annotations
 
@@ -27,8 +27,11 @@
     return RunCopy(holder=holder, address=Address(host="10.0.0.1", port=80), name="r1")
 
 
-class LifeMachine(RuleBasedStateMachine):
-    """One stream; engines refuse, die, skip and repeat events; the caller sees ``told``."""
+class StreamMachine(RuleBasedStateMachine):
+    """One stream whose engines refuse it, crash, and skip or repeat events.
+
+    ``delivered`` has the events that the caller receives.
+    """
 
     repeatable = True
 
@@ -39,7 +42,7 @@
         self.copy: RunCopy | None = None
         self.flowing = False
         self.given_up: GiveUp | None = None
-        self.told: list[int] = []
+        self.delivered: list[int] = []
         self.ran = 0
         self.waits = 0
 
@@ -62,11 +65,11 @@
             self.engine = step.copy.holder
         else:
             assert isinstance(step, Place)
-            left = [name for name in ENGINES if name not in step.avoid]
-            if not left:
+            usable_engines = [name for name in ENGINES if name not in step.avoid]
+            if not usable_engines:
                 self.life.no_engine()
                 return
-            self.engine = left[pick % len(left)]
+            self.engine = usable_engines[pick % len(usable_engines)]
         self.copy = None
         self.flowing = False
         self.growing = copy_at(holder) if holder else None
@@ -96,54 +99,54 @@
             self.life.flows()
             self.copy = self.growing
             self.flowing = True
-            self.told.append(number)
+            self.delivered.append(number)
         if verdict is EventVerdict.OUT_OF_ORDER:
             self.life.lost(self.engine or "", "skipped")
             self.engine = None
 
     @precondition(lambda self: self.given_up is not None)
     @rule()
-    def nothing_more(self) -> None:
+    def stays_given_up(self) -> None:
         assert isinstance(self.life.next_step(), GiveUp)
 
     @invariant()
-    def no_event_is_missing_or_twice(self) -> None:
-        assert self.told == list(range(1, len(self.told) + 1))
+    def no_event_is_missing_or_repeated(self) -> None:
+        assert self.delivered == list(range(1, len(self.delivered) + 1))
 
     @invariant()
-    def it_runs_no_more_often_than_it_may(self) -> None:
-        most = MAX_ATTEMPTS if self.repeatable else 1
-        assert self.ran <= most
+    def runs_stay_within_the_limit(self) -> None:
+        max_runs = MAX_ATTEMPTS if self.repeatable else 1
+        assert self.ran <= max_runs
 
     @invariant()
-    def not_run_is_said_only_of_what_did_not_run(self) -> None:
+    def not_run_is_reported_only_if_nothing_ran(self) -> None:
         if self.given_up is not None and not self.given_up.may_have_run:
-            assert self.ran == 0 and not self.told
+            assert self.ran == 0 and not self.delivered
 
 
-class OnceMachine(LifeMachine):
-    """A stream that must not run twice."""
+class SingleRunMachine(StreamMachine):
+    """A stream that must not run more than once."""
 
     repeatable = False
 
 
-def test_a_stream_that_may_be_resumed() -> None:
-    run_machine(LifeMachine, settings=settings(max_examples=200, stateful_step_count=40))
+def test_a_repeatable_stream_keeps_its_invariants() -> None:
+    run_machine(StreamMachine, settings=settings(max_examples=200, stateful_step_count=40))
 
 
-def test_a_stream_that_runs_once() -> None:
-    run_machine(OnceMachine, settings=settings(max_examples=100, stateful_step_count=20))
+def test_an_unrepeatable_stream_runs_at_most_once() -> None:
+    run_machine(SingleRunMachine, settings=settings(max_examples=100, stateful_step_count=20))
 
 
-def test_a_copy_counts_only_from_the_first_event_on() -> None:
-    """An engine copies nothing before a run's first event: resumes from there were refused."""
+def test_a_copy_is_used_only_after_the_first_event() -> None:
+    """An engine makes no copy before a run's first event, so a resume from it is refused."""
     life = StreamLife(repeatable=True, max_attempts=5)
     life.was_sent(copy=copy_at("e2"))
     life.lost("e1", "broke")
     assert isinstance(life.next_step(), Place)
 
 
-def test_an_engine_that_lives_is_kept_to_once() -> None:
+def test_a_live_engine_that_lost_a_response_is_preferred_only_once() -> None:
     life = StreamLife(repeatable=True, max_attempts=5)
     life.was_sent(copy=None)
     life.lost("e1", "reset", alive=True, read=True)
@@ -155,11 +158,11 @@
     assert isinstance(second, Place) and second.prefer is None and second.avoid == {"e1"}
 
 
-def test_a_stream_is_not_given_up_over_engines_that_could_not_be_reached() -> None:
+def test_a_stream_is_not_given_up_because_of_unreachable_engines() -> None:
     """All engines of a data centre crash; they look idle, so they are tried first.
 
-    Connections are refused within milliseconds. After a dozen of them the stream was told
-    that no engine takes it, though all engines of the other data centres were free.
+    Connections to them are refused within milliseconds. Counted as refusals, a dozen of them
+    made the stream fail although all engines of the other data centres were free.
     """
     life = StreamLife(repeatable=True, max_attempts=MAX_ATTEMPTS)
     for number in range(19):
@@ -168,8 +171,8 @@
     assert isinstance(life.next_step(), Place)
 
 
-def test_engines_that_are_all_dead_are_tried_a_few_times_with_pauses() -> None:
-    """Without a pause a stream would try dead engines in a loop, at the cost of the VM."""
+def test_dead_engines_are_retried_a_few_times_with_pauses() -> None:
+    """Without pauses a stream would retry dead engines in a busy loop and load its VM."""
     life = StreamLife(repeatable=True, max_attempts=MAX_ATTEMPTS)
     pauses = 0
     while not isinstance(step := life.next_step(), GiveUp):
--- a/lagoonlever/tests/stream_silence_tests.py
+++ b/lagoonlever/tests/stream_silence_tests.py
@@ -1,4 +1,4 @@
-"""When the silence of an attempt is asked about, and when it counts as a loss."""
+"""Tests of when a silent attempt's engine is queried, and when the attempt counts as lost."""
 
 from __future__ import annotations
 
@@ -24,34 +24,34 @@
     return silence, now - spacing_s
 
 
-def test_a_flowing_stream_is_asked_about_after_a_few_spacings() -> None:
+def test_a_flowing_stream_is_queried_after_a_few_mean_gaps() -> None:
     silence, last = flowing()
     assert silence.decide(last + LEAST_SUSPECT_S * 0.9) == WaitUntil(at=last + LEAST_SUSPECT_S)
     assert isinstance(silence.decide(last + LEAST_SUSPECT_S * 1.1), AskEngine)
 
 
-def test_a_slow_engine_is_given_more_time_up_to_half_of_the_allowed_pause() -> None:
+def test_a_slow_engine_gets_more_time_up_to_half_of_the_accepted_pause() -> None:
     silence, last = flowing(spacing_s=0.23)
     step = silence.decide(last)
     assert isinstance(step, WaitUntil)
     assert LEAST_SUSPECT_S < step.at - last <= PART_OF_PAUSE * PAUSE_ALLOWED_S + 1e-9
 
 
-def test_an_engine_that_does_not_answer_is_lost() -> None:
+def test_an_attempt_is_lost_if_its_engine_does_not_answer() -> None:
     silence, last = flowing()
     silence.answered(Answer.NONE, last + 0.25)
     step = silence.decide(last + 0.25)
     assert isinstance(step, Lost) and step.unanswered
 
 
-def test_an_engine_that_runs_it_is_waited_for() -> None:
+def test_an_attempt_that_its_engine_still_runs_is_kept() -> None:
     silence, last = flowing()
     silence.answered(Answer.RUNNING, last + 0.15)
     assert isinstance(silence.decide(last + 0.16), WaitUntil)
 
 
-def test_before_the_first_event_one_unanswered_question_is_not_enough() -> None:
-    """A prompt takes a second to read; a lost packet of the question must not cost it."""
+def test_before_the_first_event_one_unanswered_query_is_not_enough() -> None:
+    """A prefill takes a second; the loss of one packet of the query must not waste it."""
     silence = StreamSilence(sent_at=0.0)
     assert isinstance(silence.decide(FIRST_ASK_S), AskEngine)
     silence.answered(Answer.NONE, 0.5)
@@ -60,7 +60,7 @@
     assert isinstance(silence.decide(0.6), Lost)
 
 
-def test_a_loss_that_others_have_seen_needs_one_question_only() -> None:
+def test_a_loss_that_other_streams_have_seen_needs_only_one_query() -> None:
     silence = StreamSilence(sent_at=0.0)
     silence.suspect(0.2)
     assert isinstance(silence.decide(0.2), AskEngine)
@@ -68,7 +68,7 @@
     assert isinstance(silence.decide(0.3), Lost)
 
 
-def test_an_engine_that_does_not_know_the_run_has_lost_it() -> None:
+def test_a_run_that_is_not_listed_for_long_is_lost() -> None:
     silence = StreamSilence(sent_at=0.0)
     silence.answered(Answer.NOT_THERE, 0.4)
     assert not isinstance(silence.decide(0.4), Lost)
@@ -76,24 +76,24 @@
     assert isinstance(silence.decide(1.0), Lost)
 
 
-def test_a_run_that_may_wait_in_the_engine_s_queue_is_waited_for() -> None:
+def test_a_run_that_may_be_queued_at_its_engine_is_kept() -> None:
     silence = StreamSilence(sent_at=0.0)
     for now in (0.4, 1.0, 1.6, 2.2):
         silence.answered(Answer.QUEUED, now)
         assert not isinstance(silence.decide(now), Lost)
 
 
-def test_events_that_were_made_and_never_came_are_a_loss() -> None:
+def test_events_that_were_produced_but_not_delivered_are_a_loss() -> None:
     silence = StreamSilence(sent_at=0.0)
     silence.answered(Answer.RUNNING, 1.0, events_ahead=10)
     assert isinstance(silence.decide(1.0), Lost)
 
 
-def test_a_spacing_that_an_engine_shows_is_no_silence() -> None:
-    """All engines are slow, and read prompts beside each stream: an event every 0.46 s.
+def test_a_gap_as_long_as_the_recent_ones_causes_no_query() -> None:
+    """All engines are slow and prefill prompts beside each stream: an event every 0.46 s.
 
-    Each event was waited for with a question, as half of the allowed pause was over: 3,202
-    questions to engines that all worked, in a day of 160 streams.
+    Half of the accepted pause passed before each event, so each one caused a query: 3,202
+    queries to engines that all worked, in a day of 160 streams.
     """
     silence, last = flowing(spacing_s=0.46, events=40)
     step = silence.decide(last + 0.47)
@@ -101,7 +101,7 @@
     assert isinstance(silence.decide(last + 0.7), AskEngine)
 
 
-def test_half_of_the_pause_that_a_route_allows_is_left_for_the_resume() -> None:
+def test_half_of_the_pause_that_a_route_accepts_is_left_for_the_resume() -> None:
     silence = StreamSilence(sent_at=0.0, pause_allowed_s=0.3)
     for number in range(30):
         silence.event(1.0 + 0.08 * number)
@@ -110,13 +110,13 @@
     assert abs(step.at - (1.0 + 0.08 * 29) - 0.15) < 1e-6
 
 
-def test_engines_that_read_slowly_are_asked_later_but_before_a_first_event_is_late() -> None:
+def test_engines_with_a_slow_prefill_are_queried_later_but_before_the_objective() -> None:
     assert first_ask_s(usual_reading_s=0.5, objective_s=4.5) == FIRST_ASK_S
     assert first_ask_s(usual_reading_s=2.0, objective_s=4.5) == 2 * FIRST_ASK_S
     assert first_ask_s(usual_reading_s=9.0, objective_s=4.0) == 1.0
 
 
-def test_a_run_is_lost_whose_engine_has_started_again() -> None:
+def test_a_run_is_lost_if_its_engine_was_restarted() -> None:
     silence, last = flowing()
     silence.answered(Answer.STARTED_AGAIN, last + 0.2)
     assert isinstance(silence.decide(last + 0.2), Lost)
