--- a/lagoonlever/decisions/streams/answer.py
+++ b/lagoonlever/decisions/streams/answer.py
@@ -97,7 +97,7 @@
         self._digest = initial_digest(
             request_id=request_id, generation=generation, model_version=model_version
         )
-        self._initial = self._digest
+        self._initial_digest = self._digest
         self._pieces: list[ReleasedPiece] = []
         self._token_ids: list[int] = []
         self._source: Source | None = None
@@ -150,12 +150,12 @@
             token_ids=piece.token_ids,
             text=piece.text,
             digest=self._digest,
-            source=self._source_of(attempt, attempt_start, target),
+            source=self._get_source(attempt, attempt_start, target),
         )
         self._pieces.append(released)
         return released
 
-    def _source_of(self, attempt: int, attempt_start: int, target: str) -> Source:
+    def _get_source(self, attempt: int, attempt_start: int, target: str) -> Source:
         source = self._source
         if source is None or source.attempt != attempt or source.target != target:
             source = self._source = Source(
@@ -192,7 +192,7 @@
         if last.generation != self._generation:
             return None
         if last.offset == 0:
-            return 0 if last.digest == self._initial else None
+            return 0 if last.digest == self._initial_digest else None
         for index, piece in enumerate(self._pieces):
             if piece.end == last.offset:
                 return index + 1 if piece.digest == last.digest else None
--- a/lagoonlever/decisions/streams/copy_keeping.py
+++ b/lagoonlever/decisions/streams/copy_keeping.py
@@ -15,7 +15,7 @@
 
 CHECK_S = 0.2
 """Interval in seconds at which a run's copy is checked."""
-REFRESH_SHARE = 0.4
+REFRESH_SHARE_OF_RETENTION = 0.4
 """Share of an unused copy's retention time after which it is refreshed: two refreshes may fail."""
 RETRY_S = 0.5
 """Seconds until a failed copy is tried again: the engine had no capacity, or a copy was being
@@ -44,7 +44,7 @@
 class CopyKeeping:
     """State of the copy of one run; points in time are seconds of the monotonic clock."""
 
-    _kept_s: float
+    _retention_s: float
     """How long an engine retains an on-demand copy, in seconds."""
     kind: CopyKind = CopyKind.NONE
     holder: str | None = None
@@ -69,7 +69,7 @@
         if self.kind is not CopyKind.CALLED:
             return False
         last_at = self._leaves_at - LAST_COPY_S
-        stale = now - self._made_at >= REFRESH_SHARE * self._kept_s
+        stale = now - self._made_at >= REFRESH_SHARE_OF_RETENTION * self._retention_s
         return stale or self._made_at < last_at <= now
 
     def engine_leaves(self, at: float) -> None:
--- a/lagoonlever/decisions/streams/generation.py
+++ b/lagoonlever/decisions/streams/generation.py
@@ -32,7 +32,7 @@
 from lagoonlever.decisions.targets.release import ReleaseBuffer
 from lagoonlever.outcomes import Done, Failed, NotRun, Outcome, Reason, Unknown
 
-WHOLE_ANSWER = frozenset({"stop", "length"})
+COMPLETE_FINISH_REASONS = frozenset({"stop", "length"})
 """Finish reasons by which an engine reports a complete answer; any other one is a failure."""
 
 ATTEMPT_RANDOM_BITS = 20
@@ -41,10 +41,10 @@
 They keep two VMs that both resume the same request from using the same attempt number.
 """
 
-QUICK_ATTEMPTS = 3
+ATTEMPTS_WITHOUT_BACKOFF = 3
 """Number of first attempts that start without a backoff."""
-FIRST_BACKOFF_S = 0.1
-MOST_BACKOFF_S = 2.0
+INITIAL_BACKOFF_S = 0.1
+MAX_BACKOFF_S = 2.0
 
 
 @attrs.define(kw_only=True)
@@ -87,19 +87,19 @@
         self._rng = rng
         self._vm = vm
         self._generation = first_generation
-        self._counter = 0
+        self._attempt_counter = 0
         self._seed = seed_of(self._spec, self._generation)
         self._answer: Answer | None = None
         self._prompt_token_ids: tuple[int, ...] | None = None
-        self._live: dict[int, _Attempt] = {}
-        self._avoid: set[str] = set()
-        self._tried_all_again = False
+        self._open_attempts: dict[int, _Attempt] = {}
+        self._avoided_targets: set[str] = set()
+        self._retried_avoided = False
         self._attempts_started = 0
-        self._anything_sent = first_generation > 1
+        self._any_attempt_sent = first_generation > 1
         self._finished: Finish | None = None
         self._resume_point = resume_point
         if resume_point is not None:
-            self._adopt(resume_point)
+            self._restore(resume_point)
 
     @property
     def spec(self) -> GenerationSpec:
@@ -134,7 +134,7 @@
     @property
     def live_attempts(self) -> tuple[int, ...]:
         """The numbers of the open attempts, whose tokens may still be released."""
-        return tuple(self._live)
+        return tuple(self._open_attempts)
 
     @property
     def released(self) -> int:
@@ -143,13 +143,13 @@
 
     def start(self) -> list[Decision]:
         """Start the first attempt, or reattach to the engine's stream at the resume point."""
-        if self._is_full():
+        if self._has_all_tokens():
             return self._finish(Done(), "length")
         point = self._resume_point
         if point is None:
             return [self._dispatch()]
         first = self._dispatch(resume=True, number=point.attempt)
-        self._live[point.attempt].stream_start = point.attempt_start
+        self._open_attempts[point.attempt].stream_start = point.attempt_start
         return [
             attrs.evolve(
                 first,
@@ -161,13 +161,13 @@
 
     def placed(self, *, attempt: int, target: str) -> None:
         """Record the engine that was chosen for an attempt; nothing is written to it yet."""
-        if attempt in self._live:
-            self._live[attempt].target = target
+        if attempt in self._open_attempts:
+            self._open_attempts[attempt].target = target
 
     def dispatched(self, *, attempt: int) -> None:
         """Record that an attempt is being written: from now on the engine may have run it."""
-        if attempt in self._live:
-            self._anything_sent = True
+        if attempt in self._open_attempts:
+            self._any_attempt_sent = True
 
     def opened(
         self, *, attempt: int, model_version: str, prompt_token_ids: tuple[int, ...]
@@ -177,12 +177,12 @@
         An attempt of another model version than the released tokens is dropped: its tokens
         would continue the answer of a different model.
         """
-        current = self._live.get(attempt)
+        current = self._open_attempts.get(attempt)
         if current is None:
             return []
         current.answered = True
         if self._answer is None:
-            self._answer = self._new_answer(model_version)
+            self._answer = self._start_answer(model_version)
             self._prompt_token_ids = prompt_token_ids
         if self._answer.model_version != model_version:
             return self.broken(attempt=attempt, cause=BreakCause.WRONG_VERSION)
@@ -201,20 +201,20 @@
         Otherwise, an engine that froze and recovered after its stream had been continued
         elsewhere would have its late tokens appended to those of the other engine.
         """
-        current = self._live.get(attempt)
+        current = self._open_attempts.get(attempt)
         answer = self._answer
         if current is None or answer is None or self._finished or current.ended:
             return []
         if current.start + current.received != answer.offset + current.buffer.held_tokens:
             return self.broken(attempt=attempt, cause=BreakCause.OUT_OF_ORDER)
-        if finish_reason is not None and finish_reason not in WHOLE_ANSWER:
+        if finish_reason is not None and finish_reason not in COMPLETE_FINISH_REASONS:
             return self.broken(attempt=attempt, cause=BreakCause.ABORTED)
         current.received += len(token_ids)
         pieces = current.buffer.push(token_ids=token_ids, text=text)
         if finish_reason is not None:
             current.ended = True
             pieces += current.buffer.flush()
-        decisions = self._cancel_others(attempt) if pieces or current.ended else []
+        decisions = self._cancel_all_except(attempt) if pieces or current.ended else []
         if pieces:
             released = tuple(
                 answer.append(
@@ -226,7 +226,7 @@
                 for piece in pieces
             )
             decisions.append(Release(pieces=released))
-            self._tried_all_again = False
+            self._retried_avoided = False
         if current.buffer.stopped:
             return decisions + self._cancel(attempt) + self._finish(Done(), "stop")
         if current.ended:
@@ -239,18 +239,18 @@
         The engine is avoided from now on unless the cause is no fault of its own. Another
         attempt is started if no attempt is open and the limits allow it.
         """
-        current = self._live.pop(attempt, None)
+        current = self._open_attempts.pop(attempt, None)
         if current is None or self._finished:
             return []
         if current.target and cause not in TARGET_NOT_TO_BLAME:
-            self._avoid.add(current.target)
+            self._avoided_targets.add(current.target)
         decisions: list[Decision] = []
         if cause not in NOTHING_TO_CANCEL:
             decisions.append(CancelAttempt(attempt=attempt))
-        if self._live:
+        if self._open_attempts:
             return decisions
         if cause is BreakCause.NO_TARGET:
-            return decisions + self._without_target()
+            return decisions + self._handle_no_target()
         if self._attempts_started >= self._limits.attempts:
             return decisions + self._give_up(Reason.ATTEMPTS_EXHAUSTED, "every attempt broke")
         return [*decisions, self._dispatch(resume=True)]
@@ -261,9 +261,9 @@
         A request of which nothing was sent ends with ``answer`` at once. A request that is
         being resumed is retried, because its released part would be lost otherwise.
         """
-        if self._live.pop(attempt, None) is None or self._finished or self._live:
+        if self._open_attempts.pop(attempt, None) is None or self._finished or self._open_attempts:
             return []
-        if not self._anything_sent:
+        if not self._any_attempt_sent:
             return self._finish(answer)
         if self._attempts_started >= self._limits.attempts:
             return self._give_up(answer.reason, answer.message)
@@ -274,8 +274,12 @@
 
         The first of them to produce tokens is kept and the other one is cancelled.
         """
-        current = self._live.get(attempt)
-        if current is None or self._finished or len(self._live) > self._limits.resumes_within_hedge:
+        current = self._open_attempts.get(attempt)
+        if (
+            current is None
+            or self._finished
+            or len(self._open_attempts) > self._limits.resumes_within_hedge
+        ):
             return []
         if self._attempts_started >= self._limits.attempts:
             return []
@@ -289,21 +293,23 @@
         """Abandon the request: its caller left, its deadline passed, or another VM took it over."""
         if self._finished:
             return []
-        decisions: list[Decision] = [CancelAttempt(attempt=number) for number in self._live]
-        self._live.clear()
+        decisions: list[Decision] = [
+            CancelAttempt(attempt=number) for number in self._open_attempts
+        ]
+        self._open_attempts.clear()
         return decisions + self._give_up(reason, message)
 
-    def _adopt(self, point: ResumePoint) -> None:
+    def _restore(self, point: ResumePoint) -> None:
         self._generation = point.generation
-        self._counter = point.attempt >> ATTEMPT_RANDOM_BITS
+        self._attempt_counter = point.attempt >> ATTEMPT_RANDOM_BITS
         self._seed = seed_of(self._spec, point.generation)
         self._prompt_token_ids = point.prompt_token_ids
-        self._answer = self._new_answer(point.model_version)
-        self._anything_sent = True
+        self._answer = self._start_answer(point.model_version)
+        self._any_attempt_sent = True
         for piece in point.pieces:
             self._answer.adopt(piece)
 
-    def _new_answer(self, model_version: str) -> Answer:
+    def _start_answer(self, model_version: str) -> Answer:
         return Answer(
             request_id=self._spec.request_id,
             generation=self._generation,
@@ -311,13 +317,13 @@
             vm=self._vm,
         )
 
-    def _is_full(self) -> bool:
+    def _has_all_tokens(self) -> bool:
         return self.released >= self._spec.max_tokens
 
-    def _next_number(self) -> int:
-        self._counter += 1
+    def _next_attempt_number(self) -> int:
+        self._attempt_counter += 1
         drawn = self._rng.getrandbits(ATTEMPT_RANDOM_BITS)
-        return (self._counter << ATTEMPT_RANDOM_BITS) | drawn
+        return (self._attempt_counter << ATTEMPT_RANDOM_BITS) | drawn
 
     def _dispatch(
         self,
@@ -328,9 +334,9 @@
         number: int | None = None,
     ) -> Dispatch:
         self._attempts_started += 1
-        number = self._next_number() if number is None else number
+        number = self._next_attempt_number() if number is None else number
         prefix = self._answer.token_ids if self._answer else ()
-        self._live[number] = _Attempt(
+        self._open_attempts[number] = _Attempt(
             number=number,
             generation=self._generation,
             start=len(prefix),
@@ -345,39 +351,39 @@
             max_tokens=self._spec.max_tokens - len(prefix),
             seed=self._seed,
             model_version=self._answer.model_version if prefix and self._answer else None,
-            avoid=frozenset(self._avoid) | avoid,
+            avoid=frozenset(self._avoided_targets) | avoid,
             hedge=hedge,
             resume=resume,
             delay_s=self._backoff_s(),
         )
 
     def _backoff_s(self) -> float:
-        beyond = self._attempts_started - QUICK_ATTEMPTS
+        beyond = self._attempts_started - ATTEMPTS_WITHOUT_BACKOFF
         if beyond <= 0:
             return 0.0
-        return min(MOST_BACKOFF_S, FIRST_BACKOFF_S * 2.0 ** (beyond - 1))
+        return min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2.0 ** (beyond - 1))
 
     def _cancel(self, attempt: int) -> list[Decision]:
-        del self._live[attempt]
+        del self._open_attempts[attempt]
         return [CancelAttempt(attempt=attempt)]
 
-    def _cancel_others(self, winner: int) -> list[Decision]:
-        if len(self._live) < 2:
+    def _cancel_all_except(self, winner: int) -> list[Decision]:
+        if len(self._open_attempts) < 2:
             return []
-        losers = [number for number in self._live if number != winner]
+        losers = [number for number in self._open_attempts if number != winner]
         for number in losers:
-            del self._live[number]
+            del self._open_attempts[number]
         return [CancelAttempt(attempt=number) for number in losers]
 
-    def _without_target(self) -> list[Decision]:
+    def _handle_no_target(self) -> list[Decision]:
         """Handle that no engine can be chosen for the next attempt.
 
         The avoided engines are tried once more. After that a new generation is started,
         unless tokens are released and the caller does not accept a restart.
         """
-        if self._avoid and not self._tried_all_again:
-            self._avoid.clear()
-            self._tried_all_again = True
+        if self._avoided_targets and not self._retried_avoided:
+            self._avoided_targets.clear()
+            self._retried_avoided = True
             if self._attempts_started < self._limits.attempts:
                 return [self._dispatch(resume=True)]
         if self.released and not self._spec.accepts_restart:
@@ -392,21 +398,21 @@
         self._seed = seed_of(self._spec, self._generation)
         self._answer = None
         self._prompt_token_ids = None
-        self._avoid.clear()
-        self._tried_all_again = False
+        self._avoided_targets.clear()
+        self._retried_avoided = False
         decisions: list[Decision] = []
         if had_released:
             decisions.append(Restart(generation=self._generation))
         return [*decisions, self._dispatch()]
 
     def _give_up(self, reason: Reason, message: str) -> list[Decision]:
-        if not self._anything_sent:
+        if not self._any_attempt_sent:
             return self._finish(NotRun(reason=reason, message=message, retry_after_s=1.0))
         if self.released:
             return self._finish(Failed(reason=reason, message=message))
         return self._finish(Unknown(reason=reason, message=message))
 
     def _finish(self, outcome: Outcome, finish_reason: str | None = None) -> list[Decision]:
-        self._live.clear()
+        self._open_attempts.clear()
         self._finished = Finish(outcome=outcome, finish_reason=finish_reason)
         return [self._finished]
--- a/lagoonlever/decisions/streams/life.py
+++ b/lagoonlever/decisions/streams/life.py
@@ -16,10 +16,10 @@
 
 NO_ENGINE_RETRY_S = 0.1
 """Interval in seconds at which a stream looks for an engine again while none can be chosen."""
-MOST_ROUNDS = 3
+MAX_ENGINE_ROUNDS = 3
 """Number of times that all engines are tried, with a pause between, for a stream of which the
 caller has nothing yet. After them it is given up."""
-MOST_REFUSALS = 12
+MAX_REFUSALS = 12
 """Number of refusals after which a stream is given up, as all engines are taken to be full."""
 
 
@@ -76,29 +76,29 @@
     """An event before it is missing, so the attempt cannot be used any more."""
 
 
-MOST_MOVES = 2
+MAX_MOVES = 2
 """Maximum number of times that a run is moved before its first event.
 
 A run that finds each better engine taken by other runs stays at the third engine.
 """
 
 
-HELD_RETRY_S = 0.1
+BUSY_ENGINE_RETRY_S = 0.1
 """Interval in seconds at which an engine that has the copy, but is at capacity, is tried again."""
-MOST_HELD_ROUNDS = 10
+MAX_BUSY_ENGINE_RETRIES = 10
 """Maximum number of such retries. After them the prompt is prefilled again elsewhere, which
 takes about as long as the retries did."""
 
-GAPS_NEEDED = 16
+MIN_GAPS = 16
 """Minimum number of gaps between events of one engine before its speed is computed."""
-DISTURBED = 0.9
+DISTURBED_QUANTILE = 0.9
 """Quantile of the gaps that shows decoding beside the prefill of another run.
 
 A prefill widens these gaps at an engine that prefills for a tenth of its time.
 """
-APART = 2.5
+MIN_SLOWDOWN_FACTOR = 2.5
 """Minimum ratio of the two quantiles. A smaller one does not show a prefill beside the stream."""
-UNDISTURBED = 0.1
+UNDISTURBED_QUANTILE = 0.1
 """Quantile of the gaps that shows decoding without the prefill of another run.
 
 It holds even at an engine that prefills for most of its time. With the quantile 0.25, and with
@@ -116,7 +116,7 @@
 
     first_at: float | None = None
     longest_pause_s: float = 0.0
-    _last_at: float = 0.0
+    _last_event_at: float = 0.0
     _gaps: list[float] = attrs.field(factory=list)
     """Seconds between successive events of the open attempt."""
 
@@ -125,9 +125,9 @@
         if self.first_at is None:
             self.first_at = now
         else:
-            self.longest_pause_s = max(self.longest_pause_s, now - self._last_at)
-            self._gaps.append(now - self._last_at)
-        self._last_at = now
+            self.longest_pause_s = max(self.longest_pause_s, now - self._last_event_at)
+            self._gaps.append(now - self._last_event_at)
+        self._last_event_at = now
 
     def attempt_begins(self) -> None:
         """Leave out what another engine has shown."""
@@ -138,10 +138,10 @@
 
         Return None while too few gaps are known.
         """
-        if len(self._gaps) < GAPS_NEEDED:
+        if len(self._gaps) < MIN_GAPS:
             return None
         ordered = sorted(self._gaps)
-        return ordered[int(UNDISTURBED * len(ordered))]
+        return ordered[int(UNDISTURBED_QUANTILE * len(ordered))]
 
     def slowdown(self) -> float | None:
         """Return the factor by which a prefill of another run slows the events.
@@ -152,8 +152,8 @@
         if not usual_s:
             return None
         ordered = sorted(self._gaps)
-        factor = ordered[int(DISTURBED * len(ordered))] / usual_s
-        return factor if factor >= APART else None
+        factor = ordered[int(DISTURBED_QUANTILE * len(ordered))] / usual_s
+        return factor if factor >= MIN_SLOWDOWN_FACTOR else None
 
 
 @attrs.define(kw_only=True)
@@ -176,21 +176,21 @@
     """Number of attempts that were sent to an engine."""
     pace: StreamPace = attrs.field(factory=StreamPace)
     _refusals: int = 0
-    _avoid: set[str] = attrs.field(factory=set)
+    _avoided_engines: set[str] = attrs.field(factory=set)
     _copy: RunCopy | None = None
     """The KV-cache copy that the next attempt resumes from."""
-    _growing: RunCopy | None = None
+    _copy_of_open_attempt: RunCopy | None = None
     """The copy that the engine of the open attempt keeps; usable from its first event on."""
     _prefer: str | None = None
     _moves: int = 0
-    _stayed: set[str] = attrs.field(factory=set)
+    _preferred_after_loss: set[str] = attrs.field(factory=set)
     """Engines that were preferred once more after they had lost an answer."""
     _detail: str = ""
     _no_engine: bool = False
-    _none_known: bool = False
-    _waits_held: bool = False
-    _held_rounds: int = 0
-    _rounds: int = 0
+    _no_engine_left: bool = False
+    _waits_for_copy_holder: bool = False
+    _copy_holder_retries: int = 0
+    _engine_rounds: int = 0
 
     @classmethod
     def returning(
@@ -224,19 +224,21 @@
         """Return what to do next; called while no attempt is open."""
         if self.runs and not self._repeatable:
             return self._give_up()
-        if self.runs >= self._max_attempts or self._refusals >= MOST_REFUSALS:
+        if self.runs >= self._max_attempts or self._refusals >= MAX_REFUSALS:
             return self._give_up()
         if self._no_engine:
-            if not self.begun and (self._none_known or self._rounds > MOST_ROUNDS):
+            if not self.begun and (self._no_engine_left or self._engine_rounds > MAX_ENGINE_ROUNDS):
                 return self._give_up()
             self._no_engine = False
             return WaitForEngine(seconds=NO_ENGINE_RETRY_S)
-        if self._waits_held:
-            self._waits_held = False
-            return WaitForEngine(seconds=HELD_RETRY_S)
+        if self._waits_for_copy_holder:
+            self._waits_for_copy_holder = False
+            return WaitForEngine(seconds=BUSY_ENGINE_RETRY_S)
         if self._copy is not None:
             return ResumeFrom(copy=self._copy)
-        return Place(avoid=frozenset(self._avoid), prefer=self._prefer, after_loss=self.sent > 0)
+        return Place(
+            avoid=frozenset(self._avoided_engines), prefer=self._prefer, after_loss=self.sent > 0
+        )
 
     def copy_unusable(self) -> None:
         """Discard the copy, as the engine that holds it accepts no work."""
@@ -245,9 +247,9 @@
     def no_engine(self) -> None:
         """Record that no engine could be chosen; the engines that failed may be tried again."""
         self._no_engine = True
-        self._none_known = not self._avoid
-        self._rounds += 1
-        self._avoid.clear()
+        self._no_engine_left = not self._avoided_engines
+        self._engine_rounds += 1
+        self._avoided_engines.clear()
 
     def unreachable(self, engine: str, detail: str) -> None:
         """Record that nothing could be sent to an engine.
@@ -256,7 +258,7 @@
         are tried one after the other, each within milliseconds. Counted as refusals, a dozen
         of them made streams fail with "no engine takes it" while most engines were free.
         """
-        self._avoid.add(engine)
+        self._avoided_engines.add(engine)
         self._copy = None
         self._detail = detail
 
@@ -268,9 +270,9 @@
         self._detail = f"{engine} takes no more for now"
         if self._copy is None:
             return
-        self._waits_held = self._held_rounds < MOST_HELD_ROUNDS
-        self._held_rounds += 1
-        if not self._waits_held:
+        self._waits_for_copy_holder = self._copy_holder_retries < MAX_BUSY_ENGINE_RETRIES
+        self._copy_holder_retries += 1
+        if not self._waits_for_copy_holder:
             self._copy = None
 
     def was_sent(self, *, copy: RunCopy | None) -> None:
@@ -282,12 +284,12 @@
         self.runs += 1
         self._copy = None
         self._prefer = None
-        self._growing = copy
+        self._copy_of_open_attempt = copy
         self.pace.attempt_begins()
 
     def flows(self) -> None:
         """Record the first event of the open attempt: its copy can be used from now on."""
-        self._copy = self._growing
+        self._copy = self._copy_of_open_attempt
 
     def copied(self, copy: RunCopy) -> None:
         """Record an on-demand copy of the open attempt."""
@@ -297,7 +299,7 @@
         """Record that an engine refused the request, and so has not run it."""
         self.runs -= 1
         self._refusals += 1
-        self._avoid.add(engine)
+        self._avoided_engines.add(engine)
         self._copy = None
         self._detail = detail
 
@@ -309,11 +311,11 @@
         engine that loses responses may lose the next one, too.
         """
         self._detail = detail
-        if alive and read and engine not in self._stayed:
-            self._stayed.add(engine)
+        if alive and read and engine not in self._preferred_after_loss:
+            self._preferred_after_loss.add(engine)
             self._prefer = engine
             return
-        self._avoid.add(engine)
+        self._avoided_engines.add(engine)
 
     @property
     def may_repeat(self) -> bool:
@@ -328,7 +330,7 @@
     @property
     def may_move(self) -> bool:
         """Whether the open attempt may be moved to a better engine."""
-        return self.may_repeat and self._moves < MOST_MOVES
+        return self.may_repeat and self._moves < MAX_MOVES
 
     def moved(self) -> None:
         """Record that the open attempt was moved to a better engine before its first event."""
--- a/lagoonlever/decisions/streams/orphans.py
+++ b/lagoonlever/decisions/streams/orphans.py
@@ -22,7 +22,7 @@
 
 It is longer than a caller takes to reconnect to another VM, and that VM to report the stream.
 """
-FORGET_S = 900.0
+RECORD_TTL_S = 900.0
 """Age in seconds at which the record of a live owner is removed, in case its end was not
 reported."""
 
@@ -36,10 +36,10 @@
 
 
 @attrs.define(kw_only=True)
-class _Kept:
+class _KeptRecord:
     record: StreamRecord
     owner: Incarnation
-    told_at: float
+    reported_at: float
     lost_at: float | None = None
 
 
@@ -47,25 +47,25 @@
 class StreamReporter:
     """Tracks which of this VM's own streams were reported, and to which peer."""
 
-    _told: dict[str, Incarnation] = attrs.field(factory=dict)
+    _reported_to: dict[str, Incarnation] = attrs.field(factory=dict)
 
     def due(self, open_since: dict[str, float], now: float) -> list[str]:
         """Return the ids of the open streams that are old enough to report and unreported."""
         return [
             stream_id
             for stream_id, since in open_since.items()
-            if stream_id not in self._told and now - since >= RECORD_AFTER_S
+            if stream_id not in self._reported_to and now - since >= RECORD_AFTER_S
         ]
 
     def told(self, stream_id: str, holder: Incarnation) -> None:
         """Record that a stream was reported to the peer ``holder``."""
-        self._told[stream_id] = holder
+        self._reported_to[stream_id] = holder
 
     def ended(self, open_since: dict[str, float]) -> list[tuple[str, Incarnation]]:
         """Return the reported streams that have ended, each with its peer, and forget them."""
-        ended = [(name, at) for name, at in self._told.items() if name not in open_since]
+        ended = [(name, at) for name, at in self._reported_to.items() if name not in open_since]
         for name, _ in ended:
-            del self._told[name]
+            del self._reported_to[name]
         return ended
 
 
@@ -73,16 +73,16 @@
 class OrphanHolder:
     """Stream records that this VM keeps for its peers."""
 
-    _kept: dict[str, _Kept] = attrs.field(factory=dict)
+    _records: dict[str, _KeptRecord] = attrs.field(factory=dict)
 
     @property
     def records(self) -> int:
         """The number of records."""
-        return len(self._kept)
+        return len(self._records)
 
     def opened(self, record: StreamRecord, *, owner: Incarnation, now: float) -> None:
         """Add a record; a later owner of the same stream replaces the previous one."""
-        self._kept[record.stream_id] = _Kept(record=record, owner=owner, told_at=now)
+        self._records[record.stream_id] = _KeptRecord(record=record, owner=owner, reported_at=now)
 
     def closed(self, stream_ids: Iterable[str], *, owner: Incarnation) -> None:
         """Remove the records of streams whose owner reports that they have ended.
@@ -91,9 +91,9 @@
         owner stops reading it while the stream continues.
         """
         for stream_id in stream_ids:
-            kept = self._kept.get(stream_id)
+            kept = self._records.get(stream_id)
             if kept is not None and kept.owner == owner:
-                del self._kept[stream_id]
+                del self._records[stream_id]
 
     def due(self, view: MemberView, now: float) -> list[StreamRecord]:
         """Return the streams to cancel, whose owner has been lost for the grace time.
@@ -101,16 +101,16 @@
         Their records are removed, so each stream is returned once.
         """
         orphans: list[StreamRecord] = []
-        for stream_id, kept in list(self._kept.items()):
-            if not _is_lost(kept.owner, view):
+        for stream_id, kept in list(self._records.items()):
+            if not _is_owner_lost(kept.owner, view):
                 kept.lost_at = None
-                if now - kept.told_at > FORGET_S:
-                    del self._kept[stream_id]
+                if now - kept.reported_at > RECORD_TTL_S:
+                    del self._records[stream_id]
                 continue
             kept.lost_at = now if kept.lost_at is None else kept.lost_at
             if now - kept.lost_at >= GRACE_S:
                 orphans.append(kept.record)
-                del self._kept[stream_id]
+                del self._records[stream_id]
         return orphans
 
     def paused(self, seconds: float) -> None:
@@ -118,12 +118,12 @@
 
         While it was paused, this VM could not learn that an owner was alive again.
         """
-        for kept in self._kept.values():
+        for kept in self._records.values():
             if kept.lost_at is not None:
                 kept.lost_at += seconds
 
 
-def _is_lost(owner: Incarnation, view: MemberView) -> bool:
+def _is_owner_lost(owner: Incarnation, view: MemberView) -> bool:
     member = view.find(owner)
     if member is None:
         return view.is_over(owner)
--- a/lagoonlever/decisions/streams/placement.py
+++ b/lagoonlever/decisions/streams/placement.py
@@ -29,11 +29,14 @@
     others = [member for member in view.alive if member.incarnation != view.own]
     elsewhere = [m for m in others if own is None or m.data_center != own.data_center]
     nearby = [m for m in others if own is not None and m.data_center == own.data_center]
-    ranked = [*_flat(_rounds(request_id, elsewhere)), *_flat(_rounds(request_id, nearby))]
+    ranked = [
+        *_flatten(_rounds_by_data_center(request_id, elsewhere)),
+        *_flatten(_rounds_by_data_center(request_id, nearby)),
+    ]
     return tuple(ranked[:count])
 
 
-def _rounds(request_id: str, members: Iterable[Member]) -> list[list[Member]]:
+def _rounds_by_data_center(request_id: str, members: Iterable[Member]) -> list[list[Member]]:
     """Return the best member of each data centre, then the second best of each, and so on."""
     ranked = sorted(members, key=lambda m: (_score(request_id, m.name), m.name), reverse=True)
     rounds: list[list[Member]] = []
@@ -47,5 +50,5 @@
     return rounds
 
 
-def _flat(rounds: list[list[Member]]) -> list[Member]:
+def _flatten(rounds: list[list[Member]]) -> list[Member]:
     return [member for members in rounds for member in members]
--- a/lagoonlever/decisions/streams/run_placement.py
+++ b/lagoonlever/decisions/streams/run_placement.py
@@ -134,11 +134,11 @@
     """
     if ask.repeat and not view.window.allows(now, vms=view.vms):
         return BudgetSpent()
-    overloaded = _overload(ask, view, now)
+    overloaded = _check_overload(ask, view, now)
     if overloaded is not None:
         return overloaded
     if ask.settled is not None:
-        return _settled(ask, ask.settled, view, now)
+        return _place_at_settled_engine(ask, ask.settled, view, now)
     return _place(ask, view, now) or NoEngine()
 
 
@@ -193,20 +193,24 @@
         return None
     return Placed(
         engine=placement.engine.id,
-        copy_to=_copy_to(ask, placement.engine, view, now),
+        copy_to=_choose_copy_holder(ask, placement.engine, view, now),
         expected_s=placement.expected_s,
         choice=placement.choice,
     )
 
 
-def _settled(ask: RunAsk, engine_id: str, view: PlacementView, now: float) -> RunOutcome:
+def _place_at_settled_engine(
+    ask: RunAsk, engine_id: str, view: PlacementView, now: float
+) -> RunOutcome:
     engine = view.targets.find(engine_id)
     if engine is None or (ask.attempt and view.book.avoidance.is_avoided(engine_id, now)):
         return NoEngine()
-    return Placed(engine=engine_id, copy_to=_copy_to(ask, engine, view, now))
+    return Placed(engine=engine_id, copy_to=_choose_copy_holder(ask, engine, view, now))
 
 
-def _copy_to(ask: RunAsk, engine: ListedTarget, view: PlacementView, now: float) -> str | None:
+def _choose_copy_holder(
+    ask: RunAsk, engine: ListedTarget, view: PlacementView, now: float
+) -> str | None:
     if not ask.copies:
         return None
     holder = view.book.place_copy(
@@ -220,7 +224,7 @@
     return holder.id if holder is not None else None
 
 
-def _overload(ask: RunAsk, view: PlacementView, now: float) -> Overloaded | None:
+def _check_overload(ask: RunAsk, view: PlacementView, now: float) -> Overloaded | None:
     """Refuse a new prompt while engines prefill so much that answers cannot finish in time.
 
     The limit follows the time that callers usually allow. When it followed the time left to
--- a/lagoonlever/decisions/streams/run_records.py
+++ b/lagoonlever/decisions/streams/run_records.py
@@ -13,7 +13,7 @@
 
 from lagoonlever.decisions.streams.booked_runs import BookedRun
 
-RESERVED_S = 1.0
+RESERVATION_S = 1.0
 """How long a placement is reserved for a run of another VM.
 
 That VM sends the run within the time that a connection takes, or asks for another placement.
@@ -42,7 +42,7 @@
         more, or after its reservation lapsed.
         """
         if not self.sent:
-            return now - self.since > RESERVED_S
+            return now - self.since > RESERVATION_S
         return self.ended_at is not None and now - self.ended_at > keep_s
 
 
@@ -53,7 +53,7 @@
     _keep_s: float
     """How long the record of an ended run is kept: as long as its prompt may be cached."""
     _records: dict[str, RunRecord] = attrs.field(factory=dict)
-    _by_part: dict[str, str] = attrs.field(factory=dict)
+    _request_by_segment: dict[str, str] = attrs.field(factory=dict)
     """The id of the last request of each prompt segment."""
 
     def __iter__(self) -> Iterator[RunRecord]:
@@ -66,7 +66,7 @@
 
     def last_of(self, part: str) -> RunRecord | None:
         """Return the last record of a prompt segment, or None."""
-        return self._records.get(self._by_part.get(part, ""))
+        return self._records.get(self._request_by_segment.get(part, ""))
 
     def unread_at(self, engine: str) -> list[RunRecord]:
         """Return the open runs at an engine whose prompts are not prefilled yet."""
@@ -86,28 +86,28 @@
 
     def enter(self, run: BookedRun, now: float) -> None:
         """Record a run that was sent to an engine, in place of an earlier one of its request."""
-        self._enter(run, now)
+        self._add(run, now)
         if run.part is not None:
-            self._by_part[run.part] = run.request
+            self._request_by_segment[run.part] = run.request
 
     def reserve(self, run: BookedRun, now: float) -> None:
         """Record a reserved placement for a run that another VM is about to send."""
         previous = self._records.get(run.request)
-        self._enter(run, now).sent = previous is not None and previous.sent
+        self._add(run, now).sent = previous is not None and previous.sent
 
     def forget_others(self, vm: str) -> None:
         """Remove the runs of all VMs but ``vm``."""
         for record in list(self._records.values()):
             if record.run.vm != vm:
-                self._forget(record)
+                self._remove(record)
 
     def expire(self, now: float) -> None:
         """Remove the records that have lapsed at ``now``."""
         for record in list(self._records.values()):
             if record.is_over(now, keep_s=self._keep_s):
-                self._forget(record)
+                self._remove(record)
 
-    def _enter(self, run: BookedRun, now: float) -> RunRecord:
+    def _add(self, run: BookedRun, now: float) -> RunRecord:
         record = RunRecord(run=run, since=now)
         for other in self.unread_at(run.engine):
             if other.run.request != run.request:
@@ -115,8 +115,8 @@
         self._records[run.request] = record
         return record
 
-    def _forget(self, record: RunRecord) -> None:
+    def _remove(self, record: RunRecord) -> None:
         run = record.run
         del self._records[run.request]
-        if run.part is not None and self._by_part.get(run.part) == run.request:
-            del self._by_part[run.part]
+        if run.part is not None and self._request_by_segment.get(run.part) == run.request:
+            del self._request_by_segment[run.part]
--- a/lagoonlever/decisions/streams/silence.py
+++ b/lagoonlever/decisions/streams/silence.py
@@ -19,48 +19,48 @@
 
 import attrs
 
-LEAST_SUSPECT_S = 0.12
+MIN_SUSPECT_S = 0.12
 """Minimum silence before a query, in seconds: four events of an idle engine."""
-PART_OF_PAUSE = 0.5
+QUERY_SHARE_OF_PAUSE = 0.5
 """Share of the accepted pause after which the engine is queried.
 
 The other half is left for the query and the resume.
 """
 PAUSE_ALLOWED_S = 0.7
 """Pause that callers accept, in seconds, if the operators' configuration sets none."""
-SPACINGS = 2.5
+QUERY_AFTER_GAPS = 2.5
 """Number of mean gaps after which the engine is queried, within the limits above."""
-SHOWN = 1.3
+USUAL_GAPS = 1.3
 """Number of mean gaps that never cause a query, however little is left of the accepted pause.
 
 Without this limit, engines that produced an event every 0.46 s were queried before each event:
 3,202 queries in a day of 160 streams.
 """
-FADE = 0.3
+GAP_AVERAGE_WEIGHT = 0.3
 """Weight of a new gap in the exponential moving average of the gaps."""
-FIRST_ASK_S = 0.4
+FIRST_QUERY_S = 0.4
 """Minimum silence before the first event, in seconds, until the engine is queried.
 
 Also the factor of the usual prefill time after which it is queried if that is longer, as an
 engine is silent while it prefills a prompt.
 """
-FIRST_ASK_AGAIN = 1.5
+FIRST_QUERY_INTERVAL_FACTOR = 1.5
 """Interval between queries before the first event, as a factor of the delay of the first one."""
-PART_OF_OBJECTIVE = 0.25
+MAX_QUERY_SHARE_OF_OBJECTIVE = 0.25
 """Maximum delay of the first query, as a share of the time objective of the first event.
 
 The rest of the time is needed because the prompt may have to be prefilled on another engine.
 """
-FLOWING_ASK_AGAIN_S = 0.25
+FLOWING_QUERY_INTERVAL_S = 0.25
 """Interval between queries after the first event, in seconds."""
-UNLISTED_S = 0.5
+UNLISTED_TIMEOUT_S = 0.5
 """Silence in seconds after which a run that the engine's report does not list is lost.
 
 Reports are up to some hundred milliseconds old, so a shorter silence proves nothing.
 """
-HELD_BACK_EVENTS = 3
+UNDELIVERED_EVENTS = 3
 """Number of events produced but not received that shows that the engine does not send them."""
-HELD_BACK_S = 0.6
+UNDELIVERED_TIMEOUT_S = 0.6
 """Minimum silence in seconds before undelivered events count as a loss."""
 
 
@@ -113,45 +113,45 @@
     """
 
     _sent_at: float
-    _first_ask_s: float = FIRST_ASK_S
+    _first_ask_s: float = FIRST_QUERY_S
     _pause_allowed_s: float = PAUSE_ALLOWED_S
-    _last_at: float = attrs.field(default=attrs.Factory(lambda self: self._sent_at, True))
-    _ask_at: float = attrs.field(
+    _last_event_at: float = attrs.field(default=attrs.Factory(lambda self: self._sent_at, True))
+    _query_at: float = attrs.field(
         default=attrs.Factory(lambda self: self._sent_at + self._first_ask_s, True)
     )
     _flowing: bool = False
-    _spacing_s: float = 0.05
+    _mean_gap_s: float = 0.05
     _unanswered: int = 0
     _suspected: bool = False
-    _verdict: str | None = None
+    _loss_reason: str | None = None
 
     def silence_s(self, now: float) -> float:
         """Return the seconds since the last event, or since the request was sent."""
-        return now - self._last_at
+        return now - self._last_event_at
 
     def event(self, now: float) -> None:
         """Record an event of the attempt and schedule the next query."""
         if self._flowing:
-            self._spacing_s += FADE * (now - self._last_at - self._spacing_s)
+            self._mean_gap_s += GAP_AVERAGE_WEIGHT * (now - self._last_event_at - self._mean_gap_s)
         self._flowing = True
-        self._last_at = now
+        self._last_event_at = now
         self._unanswered = 0
-        self._ask_at = now + self._suspect_s
+        self._query_at = now + self._query_delay_s
 
     def suspect(self, now: float) -> None:
         """Query at once, because other streams lost this engine or engines near it.
 
         One unanswered query is then enough to treat the attempt as lost.
         """
-        self._ask_at = min(self._ask_at, now)
+        self._query_at = min(self._query_at, now)
         self._suspected = True
 
     def decide(self, now: float) -> SilenceStep:
         """Return the step to take at ``now``."""
-        if self._verdict is not None:
-            return Lost(reason=self._verdict, unanswered=self._unanswered > 0)
-        if now < self._ask_at:
-            return WaitUntil(at=self._ask_at)
+        if self._loss_reason is not None:
+            return Lost(reason=self._loss_reason, unanswered=self._unanswered > 0)
+        if now < self._query_at:
+            return WaitUntil(at=self._query_at)
         return AskEngine()
 
     def answered(self, answer: Answer, now: float, *, events_ahead: int = 0) -> None:
@@ -160,32 +160,32 @@
         ``events_ahead`` is the number of events that the engine produced and this VM has not
         received.
         """
-        silent_s = now - self._last_at
+        silent_s = now - self._last_event_at
         if answer is Answer.NONE:
             self._unanswered += 1
             if self._flowing or self._suspected or self._unanswered > 1:
-                self._verdict = f"silent for {silent_s:.2f} s and does not answer"
-            self._ask_at = now
+                self._loss_reason = f"silent for {silent_s:.2f} s and does not answer"
+            self._query_at = now
             return
         self._unanswered = 0
         self._suspected = False
         if answer is Answer.STARTED_AGAIN:
-            self._verdict = f"silent for {silent_s:.2f} s, and its engine has started again"
+            self._loss_reason = f"silent for {silent_s:.2f} s, and its engine has started again"
         elif answer is Answer.PREEMPTED:
-            self._verdict = f"silent for {silent_s:.2f} s, and its engine has preempted it"
-        elif answer is Answer.NOT_THERE and silent_s >= UNLISTED_S:
-            self._verdict = f"silent for {silent_s:.2f} s and does not run it"
-        elif events_ahead >= HELD_BACK_EVENTS and silent_s >= HELD_BACK_S:
-            self._verdict = f"silent for {silent_s:.2f} s with {events_ahead} events made"
-        first_again_s = FIRST_ASK_AGAIN * self._first_ask_s
-        self._ask_at = now + (FLOWING_ASK_AGAIN_S if self._flowing else first_again_s)
+            self._loss_reason = f"silent for {silent_s:.2f} s, and its engine has preempted it"
+        elif answer is Answer.NOT_THERE and silent_s >= UNLISTED_TIMEOUT_S:
+            self._loss_reason = f"silent for {silent_s:.2f} s and does not run it"
+        elif events_ahead >= UNDELIVERED_EVENTS and silent_s >= UNDELIVERED_TIMEOUT_S:
+            self._loss_reason = f"silent for {silent_s:.2f} s with {events_ahead} events made"
+        first_again_s = FIRST_QUERY_INTERVAL_FACTOR * self._first_ask_s
+        self._query_at = now + (FLOWING_QUERY_INTERVAL_S if self._flowing else first_again_s)
 
     @property
-    def _suspect_s(self) -> float:
+    def _query_delay_s(self) -> float:
         """Silence in seconds after which the engine is queried."""
-        max_s = PART_OF_PAUSE * self._pause_allowed_s
-        usual_s = max(LEAST_SUSPECT_S, SPACINGS * self._spacing_s)
-        return max(min(max_s, usual_s), SHOWN * self._spacing_s)
+        max_s = QUERY_SHARE_OF_PAUSE * self._pause_allowed_s
+        usual_s = max(MIN_SUSPECT_S, QUERY_AFTER_GAPS * self._mean_gap_s)
+        return max(min(max_s, usual_s), USUAL_GAPS * self._mean_gap_s)
 
 
 def first_ask_s(*, usual_reading_s: float, objective_s: float) -> float:
@@ -194,5 +194,5 @@
     ``usual_reading_s`` is the usual prefill time, ``objective_s`` the time within which the
     first event should arrive.
     """
-    delay_s = max(FIRST_ASK_S, FIRST_ASK_S * usual_reading_s)
-    return max(FIRST_ASK_S, min(delay_s, PART_OF_OBJECTIVE * objective_s))
+    delay_s = max(FIRST_QUERY_S, FIRST_QUERY_S * usual_reading_s)
+    return max(FIRST_QUERY_S, min(delay_s, MAX_QUERY_SHARE_OF_OBJECTIVE * objective_s))
--- a/lagoonlever/decisions/streams/time.py
+++ b/lagoonlever/decisions/streams/time.py
@@ -10,7 +10,7 @@
 
 from lagoonlever.decisions.engines.engine_paces import Pace
 
-SHORTEST = 0.6
+MIN_LENGTH_SHARE = 0.6
 """Share of the announced answer length that is assumed at least.
 
 Answers are often shorter than announced, and a stream that can finish must not be refused.
@@ -33,5 +33,5 @@
     """
     prefill_s = 0.0 if cached else prompt_tokens * pace.prompt_token_s
     delivered_tokens = position * event_tokens
-    remaining_tokens = max(float(event_tokens), SHORTEST * output_tokens - delivered_tokens)
+    remaining_tokens = max(float(event_tokens), MIN_LENGTH_SHARE * output_tokens - delivered_tokens)
     return prefill_s + remaining_tokens * pace.token_s
--- a/lagoonlever/gateway/copy_keeper.py
+++ b/lagoonlever/gateway/copy_keeper.py
@@ -46,7 +46,7 @@
 
     @_keeping.default
     def _make_keeping(self) -> CopyKeeping:
-        return CopyKeeping(kept_s=self._limits.copy_kept_s)
+        return CopyKeeping(retention_s=self._limits.copy_kept_s)
 
     def engine_leaves(self, at: float) -> None:
         """Have the copy made anew before the run's own engine leaves."""
--- a/lagoonlever/tests/engine_reports_tests.py
+++ b/lagoonlever/tests/engine_reports_tests.py
@@ -79,7 +79,7 @@
 
 def test_a_called_copy_is_fresh_when_the_run_s_engine_leaves() -> None:
     """Guards against a run resumed from a copy that is a second old and made again from there."""
-    keeping = CopyKeeping(kept_s=4.0)
+    keeping = CopyKeeping(retention_s=4.0)
     keeping.called("e2", 10.0)
     assert not keeping.due(11.2, holder_usable=True)
     keeping.engine_leaves(11.2 + LAST_COPY_S)
--- a/lagoonlever/tests/generation_tests.py
+++ b/lagoonlever/tests/generation_tests.py
@@ -40,7 +40,8 @@
 
     def chunk(self, *, attempt: int, **values: object) -> list[Decision]:
         return super().chunk(
-            attempt=attempt if attempt in self._live else min(self._live), **values
+            attempt=attempt if attempt in self._open_attempts else min(self._open_attempts),
+            **values,
         )
 
 
--- a/lagoonlever/tests/orphans_tests.py
+++ b/lagoonlever/tests/orphans_tests.py
@@ -121,7 +121,7 @@
 
     def closed(self, stream_ids, *, owner) -> None:
         for stream_id in stream_ids:
-            self._kept.pop(stream_id, None)
+            self._records.pop(stream_id, None)
 
     monkeypatch.setattr(OrphanHolder, "closed", closed)
     with pytest.raises(AssertionError):
--- a/lagoonlever/tests/run_placement_tests.py
+++ b/lagoonlever/tests/run_placement_tests.py
@@ -21,7 +21,7 @@
     place_run,
     reserved_run,
 )
-from lagoonlever.decisions.streams.run_records import RESERVED_S
+from lagoonlever.decisions.streams.run_records import RESERVATION_S
 from lagoonlever.decisions.targets.listed_target import ListedTarget
 from lagoonlever.decisions.targets.registry import TargetRegistry
 from lagoonlever.http.messages import Address
@@ -90,8 +90,8 @@
         context.book.begin(
             sent_run(attrs.evolve(REQUEST, request=f"s-{name}"), Placed(engine=name)), 0.1
         )
-    context.book.expire(RESERVED_S + 0.1)
-    outcome = place_run(REQUEST, context, RESERVED_S + 0.1)
+    context.book.expire(RESERVATION_S + 0.1)
+    outcome = place_run(REQUEST, context, RESERVATION_S + 0.1)
     assert isinstance(outcome, Placed) and outcome.engine == "e1"
 
 
--- a/lagoonlever/tests/stream_life_tests.py
+++ b/lagoonlever/tests/stream_life_tests.py
@@ -9,7 +9,7 @@
 
 from lagoonlever.decisions.streams.booked_runs import RunCopy
 from lagoonlever.decisions.streams.life import (
-    MOST_ROUNDS,
+    MAX_ENGINE_ROUNDS,
     EventVerdict,
     GiveUp,
     Place,
@@ -55,7 +55,7 @@
             return
         if isinstance(step, WaitForEngine):
             self.waits += 1
-            assert self.life.begun or self.waits <= MOST_ROUNDS
+            assert self.life.begun or self.waits <= MAX_ENGINE_ROUNDS
             return
         if isinstance(step, ResumeFrom):
             assert step.copy == self.copy
@@ -183,4 +183,4 @@
             life.no_engine()
             continue
         life.unreachable(next(e for e in ENGINES if e not in step.avoid), "refused")
-    assert pauses == MOST_ROUNDS and not step.may_have_run
+    assert pauses == MAX_ENGINE_ROUNDS and not step.may_have_run
--- a/lagoonlever/tests/stream_silence_tests.py
+++ b/lagoonlever/tests/stream_silence_tests.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 from lagoonlever.decisions.streams.silence import (
-    FIRST_ASK_S,
-    LEAST_SUSPECT_S,
-    PART_OF_PAUSE,
+    FIRST_QUERY_S,
+    MIN_SUSPECT_S,
     PAUSE_ALLOWED_S,
+    QUERY_SHARE_OF_PAUSE,
     Answer,
     AskEngine,
     Lost,
@@ -26,15 +26,15 @@
 
 def test_a_flowing_stream_is_queried_after_a_few_mean_gaps() -> None:
     silence, last = flowing()
-    assert silence.decide(last + LEAST_SUSPECT_S * 0.9) == WaitUntil(at=last + LEAST_SUSPECT_S)
-    assert isinstance(silence.decide(last + LEAST_SUSPECT_S * 1.1), AskEngine)
+    assert silence.decide(last + MIN_SUSPECT_S * 0.9) == WaitUntil(at=last + MIN_SUSPECT_S)
+    assert isinstance(silence.decide(last + MIN_SUSPECT_S * 1.1), AskEngine)
 
 
 def test_a_slow_engine_gets_more_time_up_to_half_of_the_accepted_pause() -> None:
     silence, last = flowing(spacing_s=0.23)
     step = silence.decide(last)
     assert isinstance(step, WaitUntil)
-    assert LEAST_SUSPECT_S < step.at - last <= PART_OF_PAUSE * PAUSE_ALLOWED_S + 1e-9
+    assert MIN_SUSPECT_S < step.at - last <= QUERY_SHARE_OF_PAUSE * PAUSE_ALLOWED_S + 1e-9
 
 
 def test_an_attempt_is_lost_if_its_engine_does_not_answer() -> None:
@@ -53,7 +53,7 @@
 def test_before_the_first_event_one_unanswered_query_is_not_enough() -> None:
     """A prefill takes a second; the loss of one packet of the query must not waste it."""
     silence = StreamSilence(sent_at=0.0)
-    assert isinstance(silence.decide(FIRST_ASK_S), AskEngine)
+    assert isinstance(silence.decide(FIRST_QUERY_S), AskEngine)
     silence.answered(Answer.NONE, 0.5)
     assert isinstance(silence.decide(0.5), AskEngine)
     silence.answered(Answer.NONE, 0.6)
@@ -111,8 +111,8 @@
 
 
 def test_engines_with_a_slow_prefill_are_queried_later_but_before_the_objective() -> None:
-    assert first_ask_s(usual_reading_s=0.5, objective_s=4.5) == FIRST_ASK_S
-    assert first_ask_s(usual_reading_s=2.0, objective_s=4.5) == 2 * FIRST_ASK_S
+    assert first_ask_s(usual_reading_s=0.5, objective_s=4.5) == FIRST_QUERY_S
+    assert first_ask_s(usual_reading_s=2.0, objective_s=4.5) == 2 * FIRST_QUERY_S
     assert first_ask_s(usual_reading_s=9.0, objective_s=4.0) == 1.0
 
 
