--- a/lagoonlever/decisions/streams/generation.py
+++ b/lagoonlever/decisions/streams/generation.py
@@ -64,6 +64,7 @@
     """Number of tokens received in this attempt, released or still buffered."""
     ended: bool = False
     answered: bool = False
+    """Whether the engine's first chunk has arrived."""
 
 
 class GenerationLife:
@@ -300,6 +301,7 @@
         return decisions + self._give_up(reason, message)
 
     def _restore(self, point: ResumePoint) -> None:
+        """Continue from the generation, attempt number and tokens of a resume point."""
         self._generation = point.generation
         self._attempt_counter = point.attempt >> ATTEMPT_RANDOM_BITS
         self._seed = seed_of(self._spec, point.generation)
@@ -310,6 +312,7 @@
             self._answer.adopt(piece)
 
     def _start_answer(self, model_version: str) -> Answer:
+        """Return an empty answer of the current generation."""
         return Answer(
             request_id=self._spec.request_id,
             generation=self._generation,
@@ -321,6 +324,7 @@
         return self.released >= self._spec.max_tokens
 
     def _next_attempt_number(self) -> int:
+        """Return a number that increases with each attempt and ends in random bits."""
         self._attempt_counter += 1
         drawn = self._rng.getrandbits(ATTEMPT_RANDOM_BITS)
         return (self._attempt_counter << ATTEMPT_RANDOM_BITS) | drawn
@@ -333,6 +337,11 @@
         avoid: frozenset[str] = frozenset(),
         number: int | None = None,
     ) -> Dispatch:
+        """Open an attempt after the released tokens and return the decision to send it.
+
+        ``avoid`` has engines to avoid in addition to those already avoided. ``number`` is set
+        only to reattach to a stream that has that attempt number.
+        """
         self._attempts_started += 1
         number = self._next_attempt_number() if number is None else number
         prefix = self._answer.token_ids if self._answer else ()
@@ -358,16 +367,18 @@
         )
 
     def _backoff_s(self) -> float:
-        beyond = self._attempts_started - ATTEMPTS_WITHOUT_BACKOFF
-        if beyond <= 0:
+        """Return the delay before an attempt, which doubles with each one after the first few."""
+        delayed_attempts = self._attempts_started - ATTEMPTS_WITHOUT_BACKOFF
+        if delayed_attempts <= 0:
             return 0.0
-        return min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2.0 ** (beyond - 1))
+        return min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2.0 ** (delayed_attempts - 1))
 
     def _cancel(self, attempt: int) -> list[Decision]:
         del self._open_attempts[attempt]
         return [CancelAttempt(attempt=attempt)]
 
     def _cancel_all_except(self, winner: int) -> list[Decision]:
+        """Cancel every other open attempt, once one of a hedged pair has produced tokens."""
         if len(self._open_attempts) < 2:
             return []
         losers = [number for number in self._open_attempts if number != winner]
@@ -393,6 +404,7 @@
         return self._give_up(Reason.NO_TARGET, "no engine serves the model")
 
     def _restart(self) -> list[Decision]:
+        """Start a new generation, and announce it if the caller has tokens of the present one."""
         had_released = self.released > 0
         self._generation += 1
         self._seed = seed_of(self._spec, self._generation)
@@ -406,6 +418,11 @@
         return [*decisions, self._dispatch()]
 
     def _give_up(self, reason: Reason, message: str) -> list[Decision]:
+        """Finish without an answer.
+
+        The outcome is "not run" only if no attempt was sent, as an engine may have run any
+        attempt that was. It is "failed" if tokens were released and otherwise "unknown".
+        """
         if not self._any_attempt_sent:
             return self._finish(NotRun(reason=reason, message=message, retry_after_s=1.0))
         if self.released:
--- a/lagoonlever/decisions/streams/life.py
+++ b/lagoonlever/decisions/streams/life.py
@@ -130,7 +130,7 @@
         self._last_event_at = now
 
     def attempt_begins(self) -> None:
-        """Leave out what another engine has shown."""
+        """Discard the gaps of the previous attempt, which may have run at another engine."""
         self._gaps.clear()
 
     def event_s(self) -> float | None:
@@ -182,15 +182,20 @@
     _copy_of_open_attempt: RunCopy | None = None
     """The copy that the engine of the open attempt keeps; usable from its first event on."""
     _prefer: str | None = None
+    """An engine that has the prompt in its cache and is tried first."""
     _moves: int = 0
     _preferred_after_loss: set[str] = attrs.field(factory=set)
     """Engines that were preferred once more after they had lost an answer."""
     _detail: str = ""
     _no_engine: bool = False
-    _no_engine_left: bool = False
+    """Whether the last placement found no engine to choose."""
+    _no_engine_known: bool = False
+    """Whether no engine is known at all, as no known one was avoided at that placement."""
     _waits_for_copy_holder: bool = False
+    """Whether the next step is to wait until the holder of the copy accepts work again."""
     _copy_holder_retries: int = 0
     _engine_rounds: int = 0
+    """Number of times that all engines were tried."""
 
     @classmethod
     def returning(
@@ -227,7 +232,9 @@
         if self.runs >= self._max_attempts or self._refusals >= MAX_REFUSALS:
             return self._give_up()
         if self._no_engine:
-            if not self.begun and (self._no_engine_left or self._engine_rounds > MAX_ENGINE_ROUNDS):
+            if not self.begun and (
+                self._no_engine_known or self._engine_rounds > MAX_ENGINE_ROUNDS
+            ):
                 return self._give_up()
             self._no_engine = False
             return WaitForEngine(seconds=NO_ENGINE_RETRY_S)
@@ -247,7 +254,7 @@
     def no_engine(self) -> None:
         """Record that no engine could be chosen; the engines that failed may be tried again."""
         self._no_engine = True
-        self._no_engine_left = not self._avoided_engines
+        self._no_engine_known = not self._avoided_engines
         self._engine_rounds += 1
         self._avoided_engines.clear()
 
--- a/lagoonlever/decisions/streams/orphans.py
+++ b/lagoonlever/decisions/streams/orphans.py
@@ -124,6 +124,7 @@
 
 
 def _is_owner_lost(owner: Incarnation, view: MemberView) -> bool:
+    """Check whether a VM's incarnation is dead or has been replaced by a later one."""
     member = view.find(owner)
     if member is None:
         return view.is_over(owner)
--- a/lagoonlever/decisions/streams/run_placement.py
+++ b/lagoonlever/decisions/streams/run_placement.py
@@ -178,6 +178,7 @@
 def _place(
     ask: RunAsk, view: PlacementView, now: float, *, begins_within_s: float | None = None
 ) -> Placed | None:
+    """Choose an engine and the holder of the copy, or return None if no engine qualifies."""
     placement = view.book.place(
         view.targets.serving(ask.service, on_trial=ask.on_trial),
         limits=view.limits,
@@ -202,6 +203,7 @@
 def _place_at_settled_engine(
     ask: RunAsk, engine_id: str, view: PlacementView, now: float
 ) -> RunOutcome:
+    """Place a run at the engine that is already decided on, unless that engine is unusable."""
     engine = view.targets.find(engine_id)
     if engine is None or (ask.attempt and view.book.avoidance.is_avoided(engine_id, now)):
         return NoEngine()
@@ -211,6 +213,7 @@
 def _choose_copy_holder(
     ask: RunAsk, engine: ListedTarget, view: PlacementView, now: float
 ) -> str | None:
+    """Return the id of an engine to hold the copy of a run at ``engine``, or None."""
     if not ask.copies:
         return None
     holder = view.book.place_copy(
--- a/lagoonlever/decisions/streams/run_records.py
+++ b/lagoonlever/decisions/streams/run_records.py
@@ -108,6 +108,7 @@
                 self._remove(record)
 
     def _add(self, run: BookedRun, now: float) -> RunRecord:
+        """Store a new record, and mark the prefills that it shares its engine with."""
         record = RunRecord(run=run, since=now)
         for other in self.unread_at(run.engine):
             if other.run.request != run.request:
