--- a/lagoonlever/decisions/streams/life.py
+++ b/lagoonlever/decisions/streams/life.py
@@ -190,7 +190,7 @@
     _no_engine: bool = False
     """Whether the last placement found no engine to choose."""
     _no_engine_known: bool = False
-    """Whether no engine is known at all, as no known one was avoided at that placement."""
+    """Whether no engine is known at all, because none could be chosen although none was avoided."""
     _waits_for_copy_holder: bool = False
     """Whether the next step is to wait until the holder of the copy accepts work again."""
     _copy_holder_retries: int = 0
--- a/lagoonlever/decisions/streams/run_placement.py
+++ b/lagoonlever/decisions/streams/run_placement.py
@@ -7,8 +7,8 @@
 fleet a few VMs keep the register of runs and the others send one of them a placement request
 for each attempt.
 
-The VM that answers reserves the placement at once, for a short time. Otherwise VMs that ask in
-the same moment, as after a crash of engines, would be sent to the same engine.
+The VM that answers reserves the placement at once, for a short time. Otherwise VMs that send
+their requests at the same moment, as after a crash of engines, would get the same engine.
 """
 
 from __future__ import annotations
@@ -127,127 +127,127 @@
     """Whether streams of the service differ in rank."""
 
 
-def place_run(ask: RunAsk, view: PlacementView, now: float) -> RunOutcome:
+def place_run(request: RunAsk, context: PlacementView, now: float) -> RunOutcome:
     """Place one attempt, or return why it cannot be placed.
 
     ``now`` is in seconds of the monotonic clock.
     """
-    if ask.repeat and not view.window.allows(now, vms=view.vms):
+    if request.repeat and not context.window.allows(now, vms=context.vms):
         return BudgetSpent()
-    overloaded = _check_overload(ask, view, now)
+    overloaded = _check_overload(request, context, now)
     if overloaded is not None:
         return overloaded
-    if ask.settled is not None:
-        return _place_at_settled_engine(ask, ask.settled, view, now)
-    return _place(ask, view, now) or NoEngine()
+    if request.settled is not None:
+        return _place_at_settled_engine(request, request.settled, context, now)
+    return _place(request, context, now) or NoEngine()
 
 
-def place_where_ready(ask: RunAsk, view: PlacementView, now: float) -> RunOutcome | NoRoom:
+def place_where_ready(request: RunAsk, context: PlacementView, now: float) -> RunOutcome | NoRoom:
     """Place an attempt that can wait in the queue for an engine that starts it soon.
 
     Return `NoRoom` while every engine has more prefill work left than `BEGINS_WITHIN_S`.
     """
-    if ask.repeat and not view.window.allows(now, vms=view.vms):
+    if request.repeat and not context.window.allows(now, vms=context.vms):
         return BudgetSpent()
-    serving = view.targets.serving(ask.service, on_trial=ask.on_trial)
-    if all(engine.id in ask.avoid for engine in serving):
+    serving = context.targets.serving(request.service, on_trial=request.on_trial)
+    if all(engine.id in request.avoid for engine in serving):
         return NoEngine()
-    return _place(ask, view, now, begins_within_s=BEGINS_WITHIN_S) or NoRoom()
+    return _place(request, context, now, begins_within_s=BEGINS_WITHIN_S) or NoRoom()
 
 
-def ready_rate(service: str, view: PlacementView, now: float) -> float:
+def ready_rate(service: str, context: PlacementView, now: float) -> float:
     """Return the prompts per second that a service's engines can prefill; avoided ones excluded."""
-    avoidance = view.book.avoidance
-    usable = [e for e in view.targets.serving(service) if not avoidance.is_avoided(e.id, now)]
-    return reading_rate(len(usable), view.book.paces.usual_reading_s(service))
+    avoidance = context.book.avoidance
+    usable = [e for e in context.targets.serving(service) if not avoidance.is_avoided(e.id, now)]
+    return reading_rate(len(usable), context.book.paces.usual_reading_s(service))
 
 
-def reserved_run(ask: RunAsk, placed: Placed, *, vm: str) -> BookedRun:
+def reserved_run(request: RunAsk, placed: Placed, *, vm: str) -> BookedRun:
     """Return the run to reserve a placement for until its VM reports that it was sent."""
     return BookedRun(
-        request=ask.request,
+        request=request.request,
         vm=vm,
         engine=placed.engine,
-        service=ask.service,
-        prompt_tokens=0 if ask.settled else ask.prompt_tokens,
-        memory_tokens=ask.memory_tokens,
-        part=ask.part,
+        service=request.service,
+        prompt_tokens=0 if request.settled else request.prompt_tokens,
+        memory_tokens=request.memory_tokens,
+        part=request.part,
     )
 
 
 def _place(
-    ask: RunAsk, view: PlacementView, now: float, *, begins_within_s: float | None = None
+    request: RunAsk, context: PlacementView, now: float, *, begins_within_s: float | None = None
 ) -> Placed | None:
     """Choose an engine and the holder of the copy, or return None if no engine qualifies."""
-    placement = view.book.place(
-        view.targets.serving(ask.service, on_trial=ask.on_trial),
-        limits=view.limits,
-        prompt_tokens=ask.prompt_tokens,
-        memory_tokens=ask.memory_tokens,
+    placement = context.book.place(
+        context.targets.serving(request.service, on_trial=request.on_trial),
+        limits=context.limits,
+        prompt_tokens=request.prompt_tokens,
+        memory_tokens=request.memory_tokens,
         now=now,
-        avoid=frozenset(ask.avoid),
-        prefer=ask.prefer,
-        crowd=ask.crowd,
+        avoid=frozenset(request.avoid),
+        prefer=request.prefer,
+        crowd=request.crowd,
         begins_within_s=begins_within_s,
     )
     if placement is None:
         return None
     return Placed(
         engine=placement.engine.id,
-        copy_to=_choose_copy_holder(ask, placement.engine, view, now),
+        copy_to=_choose_copy_holder(request, placement.engine, context, now),
         expected_s=placement.expected_s,
         choice=placement.choice,
     )
 
 
 def _place_at_settled_engine(
-    ask: RunAsk, engine_id: str, view: PlacementView, now: float
+    request: RunAsk, engine_id: str, context: PlacementView, now: float
 ) -> RunOutcome:
     """Place a run at the engine that is already decided on, unless that engine is unusable."""
-    engine = view.targets.find(engine_id)
-    if engine is None or (ask.attempt and view.book.avoidance.is_avoided(engine_id, now)):
+    engine = context.targets.find(engine_id)
+    if engine is None or (request.attempt and context.book.avoidance.is_avoided(engine_id, now)):
         return NoEngine()
-    return Placed(engine=engine_id, copy_to=_choose_copy_holder(ask, engine, view, now))
+    return Placed(engine=engine_id, copy_to=_choose_copy_holder(request, engine, context, now))
 
 
 def _choose_copy_holder(
-    ask: RunAsk, engine: ListedTarget, view: PlacementView, now: float
+    request: RunAsk, engine: ListedTarget, context: PlacementView, now: float
 ) -> str | None:
     """Return the id of an engine to hold the copy of a run at ``engine``, or None."""
-    if not ask.copies:
+    if not request.copies:
         return None
-    holder = view.book.place_copy(
-        view.targets.serving(ask.service),
-        limits=view.limits,
+    holder = context.book.place_copy(
+        context.targets.serving(request.service),
+        limits=context.limits,
         beside=engine,
-        memory_tokens=ask.memory_tokens,
+        memory_tokens=request.memory_tokens,
         now=now,
-        by_losses=view.ranked,
+        by_losses=context.ranked,
     )
     return holder.id if holder is not None else None
 
 
-def _check_overload(ask: RunAsk, view: PlacementView, now: float) -> Overloaded | None:
+def _check_overload(request: RunAsk, context: PlacementView, now: float) -> Overloaded | None:
     """Refuse a new prompt while engines prefill so much that answers cannot finish in time.
 
     The limit follows the time that callers usually allow. When it followed the time left to
     this caller, callers that reconnected after a loss with five seconds left were refused
     while engines prefilled for only a quarter of their time.
     """
-    if ask.allowed_s is None:
+    if request.allowed_s is None:
         return None
-    paces = view.book.paces
-    decode_s = paces.usual_making_s(ask.service)
+    paces = context.book.paces
+    decode_s = paces.usual_making_s(request.service)
     if decode_s is None:
         return None
     max_load_share = most_share(
         making_s=decode_s,
-        reading_s=paces.usual_reading_s(ask.service),
-        allowed_s=ask.allowed_s,
-        slowdown=paces.slowdown(ask.service),
+        reading_s=paces.usual_reading_s(request.service),
+        allowed_s=request.allowed_s,
+        slowdown=paces.slowdown(request.service),
     )
-    engines = len(view.targets.serving(ask.service))
-    load = view.book.reading_load(ask.service, engines=engines, now=now)
+    engines = len(context.targets.serving(request.service))
+    load = context.book.reading_load(request.service, engines=engines, now=now)
     if admits(load, most=max_load_share):
         return None
     return Overloaded(share=load.share, most=max_load_share)
