--- a/lagoonlever/decisions/fleet/fellows.py
+++ b/lagoonlever/decisions/fleet/fellows.py
@@ -134,7 +134,7 @@
         fellow = self._fellows.get(name)
         return fellow.state if fellow else None
 
-    def heard(self, state: FellowState, now: float) -> bool:
+    def record_state(self, state: FellowState, now: float) -> bool:
         """Take what a VM says of itself; gives True for a life that was not heard before."""
         if state.life.name == self._own.name:
             return False
--- a/lagoonlever/gateway/presence.py
+++ b/lagoonlever/gateway/presence.py
@@ -270,7 +270,7 @@
         self._spoke.add(state.life.name)
         if state.is_news_after(former):
             self._fresh[state.life.name] = ROUNDS_TOLD
-        if self._beliefs.fellows.heard(state, now):
+        if self._beliefs.fellows.record_state(state, now):
             self._meet(state, former)
 
     def _meet(self, state: FellowState, former: FellowState | None) -> None:
@@ -294,7 +294,7 @@
         self._hub_watch.heard(sender, now, data_center=digest.data_center)
         for state in digest.news:
             former = fellows.find(state.life.name)
-            if fellows.heard(state, now) and former and former.life != state.life:
+            if fellows.record_state(state, now) and former and former.life != state.life:
                 self._tell_lost(state.life.name)
         if not fellows.seen(digest.heard, now):
             self._ask_who(digest.hub, now)
--- a/lagoonlever/tests/fellows_tests.py
+++ b/lagoonlever/tests/fellows_tests.py
@@ -40,10 +40,10 @@
 
 def test_a_vm_that_falls_silent_is_left_out_and_comes_back() -> None:
     table = FellowTable(own=OWN)
-    table.heard(state(), 0.0)
+    table.record_state(state(), 0.0)
     assert names(table, 0.5) == ["vm-1"]
     assert names(table, SILENT_S + 0.1) == []
-    table.heard(state(), 5.0)
+    table.record_state(state(), 5.0)
     assert names(table, 5.1) == ["vm-1"]
 
 
@@ -57,30 +57,30 @@
 
 def test_a_leaving_vm_is_left_out_at_its_word() -> None:
     table = FellowTable(own=OWN)
-    table.heard(state(), 0.0)
-    table.heard(state(leaving=True), 0.1)
+    table.record_state(state(), 0.0)
+    table.record_state(state(leaving=True), 0.1)
     assert names(table, 0.2) == []
 
 
 def test_a_new_life_replaces_the_former_one_and_not_the_other_way() -> None:
     table = FellowTable(own=OWN)
-    table.heard(state(started_ms=1), 0.0)
-    assert table.heard(state(started_ms=2), 0.1)
-    assert not table.heard(state(started_ms=1, leaving=True), 0.2)
+    table.record_state(state(started_ms=1), 0.0)
+    assert table.record_state(state(started_ms=2), 0.1)
+    assert not table.record_state(state(started_ms=1, leaving=True), 0.2)
     table.registered(state(started_ms=1), 0.3)
     assert [each.life.started_ms for each in table.offered(0.3)] == [2]
 
 
 def test_a_vm_does_not_list_itself() -> None:
     table = FellowTable(own=OWN)
-    table.heard(state("vm-0"), 0.0)
+    table.record_state(state("vm-0"), 0.0)
     table.registered(state("vm-0"), 0.0)
     assert table.states == ()
 
 
 def test_a_vm_that_was_silent_for_long_is_forgotten() -> None:
     table = FellowTable(own=OWN)
-    table.heard(state(), 0.0)
+    table.record_state(state(), 0.0)
     table.expire(FORGET_S + 1.0)
     assert table.states == ()
 
@@ -92,9 +92,9 @@
     former one was remembered, it got no callers and no changes for half a minute.
     """
     table = FellowTable(own=OWN)
-    table.heard(state(started_ms=5_000), 0.0)
-    assert not table.heard(state(started_ms=4_000), 0.5)
-    assert table.heard(state(started_ms=4_000), SILENT_S + 0.1)
+    table.record_state(state(started_ms=5_000), 0.0)
+    assert not table.record_state(state(started_ms=4_000), 0.5)
+    assert table.record_state(state(started_ms=4_000), SILENT_S + 0.1)
     assert [each.life.started_ms for each in table.offered(SILENT_S + 0.1)] == [4_000]
 
 
@@ -107,7 +107,7 @@
     table = FellowTable(own=OWN)
     table.started_at = 10.0
     assert table.at_most(10.5) == FLEET_AT_START
-    table.heard(state(), 10.6)
+    table.record_state(state(), 10.6)
     assert table.at_most(10.0 + KNOWN_AFTER_S) == 2
 
 
