--- a/lagoonlever/decisions/fleet/fellows.py
+++ b/lagoonlever/decisions/fleet/fellows.py
@@ -144,7 +144,7 @@
         self._put(_Fellow(state=state, known_at=now, heard=True))
         return known is None or known.state.life != state.life or not known.heard
 
-    def seen(self, numbers: Iterable[int], now: float) -> bool:
+    def record_digest(self, numbers: Iterable[int], now: float) -> bool:
         """Take the lives that a hub has heard; gives False where one is not known here."""
         all_known = True
         for number in numbers:
--- a/lagoonlever/gateway/presence.py
+++ b/lagoonlever/gateway/presence.py
@@ -296,7 +296,7 @@
             former = fellows.find(state.life.name)
             if fellows.record_state(state, now) and former and former.life != state.life:
                 self._tell_lost(state.life.name)
-        if not fellows.seen(digest.heard, now):
+        if not fellows.record_digest(digest.heard, now):
             self._ask_who(digest.hub, now)
         if sender != digest.hub:
             return
