--- a/lagoonlever/decisions/fleet/fellows.py
+++ b/lagoonlever/decisions/fleet/fellows.py
@@ -156,7 +156,7 @@
                 all_known = False
         return all_known
 
-    def registered(self, state: FellowState, now: float) -> None:
+    def record_registration(self, state: FellowState, now: float) -> None:
         """Take an entry of the register; what the VM itself said goes before it."""
         if state.life.name == self._own.name:
             return
--- a/lagoonlever/gateway/presence.py
+++ b/lagoonlever/gateway/presence.py
@@ -354,7 +354,7 @@
         fellows = self._beliefs.fellows
         new = [state for state in known.fellows if fellows.find(state.life.name) is None]
         for state in known.fellows:
-            fellows.registered(state, now)
+            fellows.record_registration(state, now)
         if new:
             self._say(own, self._roles_now(own, now, self._present(now)), now)
 
--- a/lagoonlever/gateway/register.py
+++ b/lagoonlever/gateway/register.py
@@ -68,7 +68,7 @@
         except (msgspec.MsgspecError, ValueError) as error:
             events.FELLOW_UNREADABLE.log(log, error=f"{entry.key}: {error}")
             return
-        self._fellows.registered(state, self._timers.now)
+        self._fellows.record_registration(state, self._timers.now)
         events.FELLOW_LISTED.log(log, vm=life.name, life=str(life), state="registered")
 
 
--- a/lagoonlever/tests/fellows_tests.py
+++ b/lagoonlever/tests/fellows_tests.py
@@ -50,7 +50,7 @@
 def test_a_registered_vm_that_says_nothing_is_left_out() -> None:
     """A VM lost power; its entry in the register outlives it by the life of a lease."""
     table = FellowTable(own=OWN)
-    table.registered(state(), 0.0)
+    table.record_registration(state(), 0.0)
     assert names(table, 0.1) == ["vm-1"]
     assert names(table, SILENT_S + 0.1) == []
 
@@ -67,14 +67,14 @@
     table.record_state(state(started_ms=1), 0.0)
     assert table.record_state(state(started_ms=2), 0.1)
     assert not table.record_state(state(started_ms=1, leaving=True), 0.2)
-    table.registered(state(started_ms=1), 0.3)
+    table.record_registration(state(started_ms=1), 0.3)
     assert [each.life.started_ms for each in table.offered(0.3)] == [2]
 
 
 def test_a_vm_does_not_list_itself() -> None:
     table = FellowTable(own=OWN)
     table.record_state(state("vm-0"), 0.0)
-    table.registered(state("vm-0"), 0.0)
+    table.record_registration(state("vm-0"), 0.0)
     assert table.states == ()
 
 
