--- a/lagoonlever/bench/local_fleet.py
+++ b/lagoonlever/bench/local_fleet.py
@@ -49,7 +49,7 @@
 
     def sees(self, now: float) -> set[str]:
         """Give the VMs that it would send callers to."""
-        return {state.life.name for state in self.beliefs.fellows.offered(now)}
+        return {state.life.name for state in self.beliefs.fellows.accepting_callers(now)}
 
     @property
     def reads(self) -> bool:
--- a/lagoonlever/decisions/fleet/fellows.py
+++ b/lagoonlever/decisions/fleet/fellows.py
@@ -164,7 +164,7 @@
         if known is None or known.state.life < state.life:
             self._put(_Fellow(state=state, known_at=now))
 
-    def offered(self, now: float) -> tuple[FellowState, ...]:
+    def accepting_callers(self, now: float) -> tuple[FellowState, ...]:
         """Give the VMs that callers may be sent to."""
         return tuple(
             state for state in self.present(now) if state.takes_callers and not state.leaving
--- a/lagoonlever/gateway/directory.py
+++ b/lagoonlever/gateway/directory.py
@@ -53,7 +53,7 @@
         )
 
     def _addresses(self) -> tuple[Address, ...]:
-        offered = self._beliefs.fellows.offered(self._timers.now)
+        offered = self._beliefs.fellows.accepting_callers(self._timers.now)
         others = self._rng.sample(offered, len(offered))
         addresses = [self._own] if self._ready() else []
         addresses += [fellow.callers for fellow in others]
--- a/lagoonlever/gateway/metrics_page.py
+++ b/lagoonlever/gateway/metrics_page.py
@@ -43,7 +43,7 @@
 
     def _sample(self) -> None:
         fellows = self._beliefs.fellows
-        offered = len(fellows.offered(self._timers.now))
+        offered = len(fellows.accepting_callers(self._timers.now))
         self._tally.set(metrics.OPEN_REQUESTS, float(self._open_requests()))
         self._tally.set(metrics.CONFIGURATION_VERSION, float(self._beliefs.version))
         self._tally.set(metrics.FELLOWS, float(offered), "offered")
--- a/lagoonlever/tests/fellows_tests.py
+++ b/lagoonlever/tests/fellows_tests.py
@@ -68,7 +68,7 @@
     assert table.record_state(state(started_ms=2), 0.1)
     assert not table.record_state(state(started_ms=1, leaving=True), 0.2)
     table.record_registration(state(started_ms=1), 0.3)
-    assert [each.life.started_ms for each in table.offered(0.3)] == [2]
+    assert [each.life.started_ms for each in table.accepting_callers(0.3)] == [2]
 
 
 def test_a_vm_does_not_list_itself() -> None:
@@ -95,7 +95,7 @@
     table.record_state(state(started_ms=5_000), 0.0)
     assert not table.record_state(state(started_ms=4_000), 0.5)
     assert table.record_state(state(started_ms=4_000), SILENT_S + 0.1)
-    assert [each.life.started_ms for each in table.offered(SILENT_S + 0.1)] == [4_000]
+    assert [each.life.started_ms for each in table.accepting_callers(SILENT_S + 0.1)] == [4_000]
 
 
 def test_a_vm_that_has_just_started_does_not_take_those_it_knows_for_all() -> None:
