--- a/lagoonlever/decisions/fleet/fellows.py
+++ b/lagoonlever/decisions/fleet/fellows.py
@@ -115,7 +115,7 @@
         """What is known of every fellow, heard or registered."""
         return tuple(fellow.state for fellow in self._fellows.values())
 
-    def at_most(self, now: float) -> int:
+    def max_fleet_size(self, now: float) -> int:
         """Give how many VMs there may be, this one among them.
 
         A VM that has just started knows of few. Taken for the whole fleet, they would let
--- a/lagoonlever/gateway/repeatable_calls.py
+++ b/lagoonlever/gateway/repeatable_calls.py
@@ -203,7 +203,7 @@
             open_to = self._exchange.open_to(call, serving)
             if not is_first and open_to:
                 now = self._exchange.timers.now
-                if not window.allows(now, vms=self._exchange.beliefs.fellows.at_most(now)):
+                if not window.allows(now, vms=self._exchange.beliefs.fellows.max_fleet_size(now)):
                     return ()
             if place.is_on:
                 return place.names
