--- a/lagoonlever/decisions/fleet/fellows.py
+++ b/lagoonlever/decisions/fleet/fellows.py
@@ -66,7 +66,7 @@
     link_mbps: float = 0.0
     """How much its link carries; 0 where it was not told."""
 
-    def is_news_after(self, former: FellowState | None) -> bool:
+    def is_update_of(self, former: FellowState | None) -> bool:
         """Tell whether hubs pass this on at once to those who know ``former``.
 
         What a VM knows of the configuration and of the list is no news: it changes on
