--- a/lagoonlever/decisions/fleet/fellows.py
+++ b/lagoonlever/decisions/fleet/fellows.py
@@ -82,7 +82,7 @@
         return self != alike
 
 
-def is_repeated(number: int, *, speakers: int, in_round: int) -> bool:
+def repeats_in_round(number: int, *, speakers: int, in_round: int) -> bool:
     """Tell whether a hub repeats the state of one of the VMs that speak to it in this round."""
     rounds = max(NEWS_ROUNDS, math.ceil(speakers / REPEATED_MOST))
     return (number + in_round) % rounds == 0
--- a/lagoonlever/gateway/presence.py
+++ b/lagoonlever/gateway/presence.py
@@ -22,7 +22,7 @@
     SAY_EVERY_S,
     SILENT_S,
     FellowState,
-    is_repeated,
+    repeats_in_round,
 )
 from lagoonlever.decisions.fleet.hub_watch import HubWatch
 from lagoonlever.decisions.fleet.roles import HUBS, Roles, roles_of
@@ -249,7 +249,7 @@
         for number, state in enumerate(speakers):
             # Each VM gets every other digest of a hub, so each state is in two that follow.
             turn = self._rounds // ROUNDS_TOLD
-            repeated = is_repeated(number, speakers=len(speakers), in_round=turn)
+            repeated = repeats_in_round(number, speakers=len(speakers), in_round=turn)
             if repeated or state.life.name in self._fresh:
                 told.append(state)
         return FellowDigest(
--- a/lagoonlever/tests/fellows_tests.py
+++ b/lagoonlever/tests/fellows_tests.py
@@ -16,7 +16,7 @@
     SILENT_S,
     FellowState,
     FellowTable,
-    is_repeated,
+    repeats_in_round,
 )
 from lagoonlever.http.messages import Address
 from lagoonlever.identity import Incarnation
@@ -120,7 +120,11 @@
     """
     rounds = max(NEWS_ROUNDS, math.ceil(count / REPEATED_MOST))
     told = [
-        [number for number in range(count) if is_repeated(number, speakers=count, in_round=each)]
+        [
+            number
+            for number in range(count)
+            if repeats_in_round(number, speakers=count, in_round=each)
+        ]
         for each in range(rounds)
     ]
     assert max(len(states) for states in told) <= max(REPEATED_MOST, math.ceil(count / rounds))
