--- a/lagoonlever/decisions/fleet/fellows.py
+++ b/lagoonlever/decisions/fleet/fellows.py
@@ -19,7 +19,7 @@
 from lagoonlever.identity import Incarnation
 from lagoonlever.revisions import NOWHERE, Revision
 
-SAY_EVERY_S = 0.3
+ANNOUNCE_INTERVAL_S = 0.3
 SILENT_S = 1.0
 """Three words missed: one lost, or late by a slow turn, doesn't take a VM out."""
 HUB_SILENT_S = 2.0
--- a/lagoonlever/gateway/presence.py
+++ b/lagoonlever/gateway/presence.py
@@ -19,7 +19,7 @@
 from lagoonlever.decisions.fleet.fellows import (
     HUB_SILENT_S,
     KNOWN_AFTER_S,
-    SAY_EVERY_S,
+    ANNOUNCE_INTERVAL_S,
     SILENT_S,
     FellowState,
     repeats_in_round,
@@ -106,7 +106,7 @@
             nursery.start_soon(self._receive_digests)
             nursery.start_soon(self._receive_asks)
             nursery.start_soon(self._receive_lists)
-            with self._timers.subscribed(self._round, period_s=SAY_EVERY_S):
+            with self._timers.subscribed(self._round, period_s=ANNOUNCE_INTERVAL_S):
                 await trio.sleep_forever()
 
     def say_now(self) -> None:
--- a/lagoonlever/gateway/program.py
+++ b/lagoonlever/gateway/program.py
@@ -13,7 +13,7 @@
 import logbook
 import trio
 
-from lagoonlever.decisions.fleet.fellows import SAY_EVERY_S
+from lagoonlever.decisions.fleet.fellows import ANNOUNCE_INTERVAL_S
 from lagoonlever.exceptions import FaultsError
 from lagoonlever.gateway import events
 from lagoonlever.gateway.daemon import GatewayDaemon
@@ -28,12 +28,12 @@
 
 FAULTS = 1
 """The exit code of a process whose settings are wrong."""
-FLUSH_S = SAY_EVERY_S
+FLUSH_S = ANNOUNCE_INTERVAL_S
 """How often lines that wait for a slow reader are offered again.
 
 In step with what a VM says of itself, so that a VM at rest wakes up once for all of it.
 """
-LOOK_S = 3 * SAY_EVERY_S
+LOOK_S = 3 * ANNOUNCE_INTERVAL_S
 """How often the settings file is looked at for a change."""
 
 
