--- a/lagoonlever/decisions/fleet/fellows.py
+++ b/lagoonlever/decisions/fleet/fellows.py
@@ -20,7 +20,7 @@
 from lagoonlever.revisions import NOWHERE, Revision
 
 ANNOUNCE_INTERVAL_S = 0.3
-SILENT_S = 1.0
+SILENCE_TIMEOUT_S = 1.0
 """Three words missed: one lost, or late by a slow turn, doesn't take a VM out."""
 HUB_SILENT_S = 2.0
 """Where hubs pass words on: the time to find another hub, and an interval for each hop."""
@@ -101,7 +101,7 @@
     """The newest life of each VM but this one; times are seconds of the monotonic clock."""
 
     _own: Incarnation
-    silent_s: float = SILENT_S
+    silent_s: float = SILENCE_TIMEOUT_S
     started_at: float = float("-inf")
     """When this VM began to listen."""
     blind_since: Mapping[str, float] = attrs.field(factory=dict)
--- a/lagoonlever/gateway/presence.py
+++ b/lagoonlever/gateway/presence.py
@@ -20,7 +20,7 @@
     HUB_SILENT_S,
     KNOWN_AFTER_S,
     ANNOUNCE_INTERVAL_S,
-    SILENT_S,
+    SILENCE_TIMEOUT_S,
     FellowState,
     repeats_in_round,
 )
@@ -161,7 +161,7 @@
         fellows = self._beliefs.fellows
         if roles.mesh:
             self._hub_watch.reset()
-            fellows.silent_s, fellows.blind_since = SILENT_S, {}
+            fellows.silent_s, fellows.blind_since = SILENCE_TIMEOUT_S, {}
             return
         for hub in self._hub_watch.overdue(now):
             events.HUB_PASSED_OVER.log(log, vm=hub)
@@ -235,7 +235,9 @@
 
     def _speakers(self, own: FellowState, now: float) -> list[FellowState]:
         """Give the VMs of this data centre that speak to this one."""
-        self._direct = {name: at for name, at in self._direct.items() if now - at <= SILENT_S}
+        self._direct = {
+            name: at for name, at in self._direct.items() if now - at <= SILENCE_TIMEOUT_S
+        }
         known = [self._beliefs.fellows.find(name) for name in self._direct]
         return [s for s in known if s is not None and s.data_center == own.data_center]
 
--- a/lagoonlever/tests/fellows_tests.py
+++ b/lagoonlever/tests/fellows_tests.py
@@ -13,7 +13,7 @@
     KNOWN_AFTER_S,
     NEWS_ROUNDS,
     REPEATED_MOST,
-    SILENT_S,
+    SILENCE_TIMEOUT_S,
     FellowState,
     FellowTable,
     repeats_in_round,
@@ -42,7 +42,7 @@
     table = FellowTable(own=OWN)
     table.record_state(state(), 0.0)
     assert names(table, 0.5) == ["vm-1"]
-    assert names(table, SILENT_S + 0.1) == []
+    assert names(table, SILENCE_TIMEOUT_S + 0.1) == []
     table.record_state(state(), 5.0)
     assert names(table, 5.1) == ["vm-1"]
 
@@ -52,7 +52,7 @@
     table = FellowTable(own=OWN)
     table.record_registration(state(), 0.0)
     assert names(table, 0.1) == ["vm-1"]
-    assert names(table, SILENT_S + 0.1) == []
+    assert names(table, SILENCE_TIMEOUT_S + 0.1) == []
 
 
 def test_a_leaving_vm_is_left_out_at_its_word() -> None:
@@ -94,8 +94,10 @@
     table = FellowTable(own=OWN)
     table.record_state(state(started_ms=5_000), 0.0)
     assert not table.record_state(state(started_ms=4_000), 0.5)
-    assert table.record_state(state(started_ms=4_000), SILENT_S + 0.1)
-    assert [each.life.started_ms for each in table.accepting_callers(SILENT_S + 0.1)] == [4_000]
+    assert table.record_state(state(started_ms=4_000), SILENCE_TIMEOUT_S + 0.1)
+    assert [each.life.started_ms for each in table.accepting_callers(SILENCE_TIMEOUT_S + 0.1)] == [
+        4_000
+    ]
 
 
 def test_a_vm_that_has_just_started_does_not_take_those_it_knows_for_all() -> None:
