--- a/lagoonlever/decisions/fleet/fellows.py
+++ b/lagoonlever/decisions/fleet/fellows.py
@@ -22,7 +22,7 @@
 ANNOUNCE_INTERVAL_S = 0.3
 SILENCE_TIMEOUT_S = 1.0
 """Three words missed: one lost, or late by a slow turn, doesn't take a VM out."""
-HUB_SILENT_S = 2.0
+HUB_SILENCE_TIMEOUT_S = 2.0
 """Where hubs pass words on: the time to find another hub, and an interval for each hop."""
 BLIND_MOST_S = 1.0
 """How long a VM goes on with what it knew of a data centre that no hub tells of.
--- a/lagoonlever/gateway/presence.py
+++ b/lagoonlever/gateway/presence.py
@@ -17,7 +17,7 @@
 
 from lagoonlever.decisions.fleet.digests import not_covered
 from lagoonlever.decisions.fleet.fellows import (
-    HUB_SILENT_S,
+    HUB_SILENCE_TIMEOUT_S,
     KNOWN_AFTER_S,
     ANNOUNCE_INTERVAL_S,
     SILENCE_TIMEOUT_S,
@@ -165,7 +165,10 @@
             return
         for hub in self._hub_watch.overdue(now):
             events.HUB_PASSED_OVER.log(log, vm=hub)
-        fellows.silent_s, fellows.blind_since = HUB_SILENT_S, self._hub_watch.blind_since(now)
+        fellows.silent_s, fellows.blind_since = (
+            HUB_SILENCE_TIMEOUT_S,
+            self._hub_watch.blind_since(now),
+        )
 
     def _take_roles(self, roles: Roles, now: float) -> None:
         settled = self._started is not None and now - self._started >= SETTLE_S
