--- a/lagoonlever/decisions/fleet/fellows.py
+++ b/lagoonlever/decisions/fleet/fellows.py
@@ -24,7 +24,7 @@
 """Three words missed: one lost, or late by a slow turn, doesn't take a VM out."""
 HUB_SILENCE_TIMEOUT_S = 2.0
 """Where hubs pass words on: the time to find another hub, and an interval for each hop."""
-BLIND_MOST_S = 1.0
+MAX_BLIND_S = 1.0
 """How long a VM goes on with what it knew of a data centre that no hub tells of.
 
 Other hubs are found and answer within 2.2 s of a loss; what was known lasts 2.7 s.
@@ -197,5 +197,5 @@
     def _is_silent(self, fellow: _Fellow, now: float) -> bool:
         blind_since = self.blind_since.get(fellow.state.data_center)
         if blind_since is not None:
-            now = max(blind_since, now - BLIND_MOST_S)
+            now = max(blind_since, now - MAX_BLIND_S)
         return now - fellow.known_at > self.silent_s
