--- a/lagoonlever/decisions/fleet/fellows.py
+++ b/lagoonlever/decisions/fleet/fellows.py
@@ -29,7 +29,7 @@
 
 Other hubs are found and answer within 2.2 s of a loss; what was known lasts 2.7 s.
 """
-KNOWN_AFTER_S = 3.0
+DISCOVERY_S = 3.0
 """After a start every VM that lives has been heard."""
 FLEET_AT_START = 100
 """What is assumed until then: more than the fleets served, and a share that allows one repeat."""
@@ -122,7 +122,7 @@
         each of 69 VMs that restart together spend what is meant for all of them.
         """
         known = len(self._fellows) + 1
-        settled = now - self.started_at >= KNOWN_AFTER_S
+        settled = now - self.started_at >= DISCOVERY_S
         return known if settled else max(known, FLEET_AT_START)
 
     def present(self, now: float) -> tuple[FellowState, ...]:
--- a/lagoonlever/gateway/presence.py
+++ b/lagoonlever/gateway/presence.py
@@ -18,7 +18,7 @@
 from lagoonlever.decisions.fleet.digests import not_covered
 from lagoonlever.decisions.fleet.fellows import (
     HUB_SILENCE_TIMEOUT_S,
-    KNOWN_AFTER_S,
+    DISCOVERY_S,
     ANNOUNCE_INTERVAL_S,
     SILENCE_TIMEOUT_S,
     FellowState,
@@ -391,7 +391,7 @@
         few others of a large fleet first took them for all, and no hub heard of it for 1.8 s.
         """
         started = self._started if self._started is not None else now
-        every_s = 0.0 if now - started <= KNOWN_AFTER_S else ASK_FELLOW_EVERY_S
+        every_s = 0.0 if now - started <= DISCOVERY_S else ASK_FELLOW_EVERY_S
         if now - self._asked_fellow_at < every_s:
             return
         fellow = present[self._asked_fellows % len(present)]
--- a/lagoonlever/tests/fellows_tests.py
+++ b/lagoonlever/tests/fellows_tests.py
@@ -10,7 +10,7 @@
 from lagoonlever.decisions.fleet.fellows import (
     FLEET_AT_START,
     FORGET_S,
-    KNOWN_AFTER_S,
+    DISCOVERY_S,
     NEWS_ROUNDS,
     REPEATED_MOST,
     SILENCE_TIMEOUT_S,
@@ -110,7 +110,7 @@
     table.started_at = 10.0
     assert table.max_fleet_size(10.5) == FLEET_AT_START
     table.record_state(state(), 10.6)
-    assert table.max_fleet_size(10.0 + KNOWN_AFTER_S) == 2
+    assert table.max_fleet_size(10.0 + DISCOVERY_S) == 2
 
 
 @pytest.mark.parametrize("count", [1, 23, 100, 400])
