--- a/lagoonlever/bench/local_fleet.py
+++ b/lagoonlever/bench/local_fleet.py
@@ -10,7 +10,7 @@
 import trio.testing
 
 from lagoonlever.decisions.engines.engine_book import EngineBook
-from lagoonlever.decisions.fleet.fellows import FellowState, FellowTable
+from lagoonlever.decisions.fleet.fellows import FellowState, PeerTable
 from lagoonlever.gateway.beliefs import Beliefs
 from lagoonlever.gateway.daemon import LONGEST_WAIT_S
 from lagoonlever.gateway.knowledge import KnowledgeExchange
@@ -87,7 +87,7 @@
         )
         rng = random.Random(number)
         book = EngineBook(rng=rng, data_center=state.data_center)
-        beliefs = Beliefs(fellows=FellowTable(own=life), book=book)
+        beliefs = Beliefs(fellows=PeerTable(own=life), book=book)
         bus = LocalBus(own=life, address=address, network=self.network)
         timers = TimerService(tick_s=LONGEST_WAIT_S)
         presence = Presence(
--- a/lagoonlever/decisions/fleet/fellows.py
+++ b/lagoonlever/decisions/fleet/fellows.py
@@ -97,7 +97,7 @@
 
 
 @attrs.define(kw_only=True)
-class FellowTable:
+class PeerTable:
     """The newest life of each VM but this one; times are seconds of the monotonic clock."""
 
     _own: Incarnation
--- a/lagoonlever/gateway/beliefs.py
+++ b/lagoonlever/gateway/beliefs.py
@@ -6,7 +6,7 @@
 import trio
 
 from lagoonlever.decisions.engines.engine_book import EngineBook
-from lagoonlever.decisions.fleet.fellows import FellowTable
+from lagoonlever.decisions.fleet.fellows import PeerTable
 from lagoonlever.decisions.settings.configuration import Configuration, EngineLimits
 from lagoonlever.decisions.targets.load_view import TargetLoads
 from lagoonlever.decisions.targets.registry import TargetRegistry
@@ -20,7 +20,7 @@
 class Beliefs:
     """Changed by the parts that follow the store and the peers; everyone else only reads."""
 
-    fellows: FellowTable
+    fellows: PeerTable
     book: EngineBook
     configuration: Published[Configuration | None] = attrs.field(
         factory=lambda: Published[Configuration | None](None)
--- a/lagoonlever/gateway/parts.py
+++ b/lagoonlever/gateway/parts.py
@@ -8,7 +8,7 @@
 import attrs
 
 from lagoonlever.decisions.engines.engine_book import EngineBook
-from lagoonlever.decisions.fleet.fellows import FellowState, FellowTable
+from lagoonlever.decisions.fleet.fellows import FellowState, PeerTable
 from lagoonlever.decisions.settings.configuration import ClientLimits
 from lagoonlever.decisions.targets.named_limits import NamedLimits
 from lagoonlever.decisions.targets.registry import TargetRegistry
@@ -114,7 +114,7 @@
     @beliefs.default
     def _make_beliefs(self) -> Beliefs:
         return Beliefs(
-            fellows=FellowTable(own=self.life),
+            fellows=PeerTable(own=self.life),
             book=EngineBook(
                 rng=self.rng,
                 data_center=self.settings.data_center,
--- a/lagoonlever/gateway/register.py
+++ b/lagoonlever/gateway/register.py
@@ -8,7 +8,7 @@
 import logbook
 import msgspec
 
-from lagoonlever.decisions.fleet.fellows import FellowState, FellowTable
+from lagoonlever.decisions.fleet.fellows import FellowState, PeerTable
 from lagoonlever.gateway import events
 from lagoonlever.http.messages import Address
 from lagoonlever.identity import Incarnation
@@ -45,7 +45,7 @@
 class Register:
     """Takes the entries into the table of fellows."""
 
-    _fellows: FellowTable
+    _fellows: PeerTable
     _timers: TimerService
 
     def read(self, entries: Iterable[KeyValue]) -> None:
--- a/lagoonlever/tests/fellows_tests.py
+++ b/lagoonlever/tests/fellows_tests.py
@@ -15,7 +15,7 @@
     REPEATED_MOST,
     SILENCE_TIMEOUT_S,
     FellowState,
-    FellowTable,
+    PeerTable,
     repeats_in_round,
 )
 from lagoonlever.http.messages import Address
@@ -34,12 +34,12 @@
     return attrs.evolve(made, **more)
 
 
-def names(table: FellowTable, now: float) -> list[str]:
+def names(table: PeerTable, now: float) -> list[str]:
     return [each.life.name for each in table.offered(now)]
 
 
 def test_a_vm_that_falls_silent_is_left_out_and_comes_back() -> None:
-    table = FellowTable(own=OWN)
+    table = PeerTable(own=OWN)
     table.record_state(state(), 0.0)
     assert names(table, 0.5) == ["vm-1"]
     assert names(table, SILENCE_TIMEOUT_S + 0.1) == []
@@ -49,21 +49,21 @@
 
 def test_a_registered_vm_that_says_nothing_is_left_out() -> None:
     """A VM lost power; its entry in the register outlives it by the life of a lease."""
-    table = FellowTable(own=OWN)
+    table = PeerTable(own=OWN)
     table.record_registration(state(), 0.0)
     assert names(table, 0.1) == ["vm-1"]
     assert names(table, SILENCE_TIMEOUT_S + 0.1) == []
 
 
 def test_a_leaving_vm_is_left_out_at_its_word() -> None:
-    table = FellowTable(own=OWN)
+    table = PeerTable(own=OWN)
     table.record_state(state(), 0.0)
     table.record_state(state(leaving=True), 0.1)
     assert names(table, 0.2) == []
 
 
 def test_a_new_life_replaces_the_former_one_and_not_the_other_way() -> None:
-    table = FellowTable(own=OWN)
+    table = PeerTable(own=OWN)
     table.record_state(state(started_ms=1), 0.0)
     assert table.record_state(state(started_ms=2), 0.1)
     assert not table.record_state(state(started_ms=1, leaving=True), 0.2)
@@ -72,14 +72,14 @@
 
 
 def test_a_vm_does_not_list_itself() -> None:
-    table = FellowTable(own=OWN)
+    table = PeerTable(own=OWN)
     table.record_state(state("vm-0"), 0.0)
     table.record_registration(state("vm-0"), 0.0)
     assert table.states == ()
 
 
 def test_a_vm_that_was_silent_for_long_is_forgotten() -> None:
-    table = FellowTable(own=OWN)
+    table = PeerTable(own=OWN)
     table.record_state(state(), 0.0)
     table.expire(FORGET_S + 1.0)
     assert table.states == ()
@@ -91,7 +91,7 @@
     By the time of day its new life began before the former one. Ignored for as long as the
     former one was remembered, it got no callers and no changes for half a minute.
     """
-    table = FellowTable(own=OWN)
+    table = PeerTable(own=OWN)
     table.record_state(state(started_ms=5_000), 0.0)
     assert not table.record_state(state(started_ms=4_000), 0.5)
     assert table.record_state(state(started_ms=4_000), SILENCE_TIMEOUT_S + 0.1)
@@ -106,7 +106,7 @@
     Each would take the whole fleet's slack of repeats for its own, and the application
     runners would get 69 times what they may.
     """
-    table = FellowTable(own=OWN)
+    table = PeerTable(own=OWN)
     table.started_at = 10.0
     assert table.max_fleet_size(10.5) == FLEET_AT_START
     table.record_state(state(), 10.6)
--- a/lagoonlever/tests/store_documents_tests.py
+++ b/lagoonlever/tests/store_documents_tests.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lagoonlever.decisions.fleet.fellows import FellowTable
+from lagoonlever.decisions.fleet.fellows import PeerTable
 from lagoonlever.gateway.register import REGISTER_PREFIX, Register
 from lagoonlever.identity import Incarnation
 from lagoonlever.platform.configuration import UnreadableConfiguration, read_configuration
@@ -63,7 +63,7 @@
 @given(key=st.text(max_size=40), value=st.binary(max_size=80) | JSON.map(lambda v: json.dumps(v)))
 def test_an_entry_of_the_register_by_anybody_is_skipped(key: str, value: bytes | str) -> None:
     """The register of VMs holds an entry that no VM wrote; the start of a VM reads it."""
-    table = FellowTable(own=Incarnation(name="vm-0", started_ms=1, nonce=1))
+    table = PeerTable(own=Incarnation(name="vm-0", started_ms=1, nonce=1))
     register = Register(fellows=table, timers=TimerService())
     written = value.encode() if isinstance(value, str) else value
     name = f"{REGISTER_PREFIX}{key}"
