--- a/lagoonlever/bench/local_fleet.py
+++ b/lagoonlever/bench/local_fleet.py
@@ -10,7 +10,7 @@
 import trio.testing
 
 from lagoonlever.decisions.engines.engine_book import EngineBook
-from lagoonlever.decisions.fleet.fellows import FellowState, PeerTable
+from lagoonlever.decisions.fleet.fellows import PeerState, PeerTable
 from lagoonlever.gateway.beliefs import Beliefs
 from lagoonlever.gateway.daemon import LONGEST_WAIT_S
 from lagoonlever.gateway.knowledge import KnowledgeExchange
@@ -30,7 +30,7 @@
 class FleetVm:
     """One VM's presence and what it believes."""
 
-    state: FellowState
+    state: PeerState
     presence: Presence
     beliefs: Beliefs
     bus: LocalBus
@@ -78,7 +78,7 @@
         self.started += 1
         address = Address(host=f"10.0.0.{number}", port=1)
         life = Incarnation(name=name, started_ms=self.started, nonce=1000 + self.started)
-        state = FellowState(
+        state = PeerState(
             life=life,
             data_center=PLACES[number % len(PLACES)],
             callers=address,
--- a/lagoonlever/decisions/fleet/fellows.py
+++ b/lagoonlever/decisions/fleet/fellows.py
@@ -47,7 +47,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class FellowState:
+class PeerState:
     """What a VM says of itself."""
 
     life: Incarnation
@@ -66,7 +66,7 @@
     link_mbps: float = 0.0
     """How much its link carries; 0 where it was not told."""
 
-    def is_update_of(self, former: FellowState | None) -> bool:
+    def is_update_of(self, former: PeerState | None) -> bool:
         """Tell whether hubs pass this on at once to those who know ``former``.
 
         What a VM knows of the configuration and of the list is no news: it changes on
@@ -90,7 +90,7 @@
 
 @attrs.define(kw_only=True)
 class _Fellow:
-    state: FellowState
+    state: PeerState
     known_at: float
     """When it was last heard, or first read of."""
     heard: bool = False
@@ -111,7 +111,7 @@
     """By the random number of each life, which is how digests name it."""
 
     @property
-    def states(self) -> tuple[FellowState, ...]:
+    def states(self) -> tuple[PeerState, ...]:
         """What is known of every fellow, heard or registered."""
         return tuple(fellow.state for fellow in self._fellows.values())
 
@@ -125,16 +125,16 @@
         settled = now - self.started_at >= DISCOVERY_S
         return known if settled else max(known, FLEET_AT_START)
 
-    def present(self, now: float) -> tuple[FellowState, ...]:
+    def present(self, now: float) -> tuple[PeerState, ...]:
         """Give the fellows that are not silent."""
         return tuple(f.state for f in self._fellows.values() if not self._is_silent(f, now))
 
-    def find(self, name: str) -> FellowState | None:
+    def find(self, name: str) -> PeerState | None:
         """Give what is known of a VM, or None."""
         fellow = self._fellows.get(name)
         return fellow.state if fellow else None
 
-    def record_state(self, state: FellowState, now: float) -> bool:
+    def record_state(self, state: PeerState, now: float) -> bool:
         """Take what a VM says of itself; gives True for a life that was not heard before."""
         if state.life.name == self._own.name:
             return False
@@ -156,7 +156,7 @@
                 all_known = False
         return all_known
 
-    def record_registration(self, state: FellowState, now: float) -> None:
+    def record_registration(self, state: PeerState, now: float) -> None:
         """Take an entry of the register; what the VM itself said goes before it."""
         if state.life.name == self._own.name:
             return
@@ -164,7 +164,7 @@
         if known is None or known.state.life < state.life:
             self._put(_Fellow(state=state, known_at=now))
 
-    def accepting_callers(self, now: float) -> tuple[FellowState, ...]:
+    def accepting_callers(self, now: float) -> tuple[PeerState, ...]:
         """Give the VMs that callers may be sent to."""
         return tuple(
             state for state in self.present(now) if state.takes_callers and not state.leaving
@@ -185,7 +185,7 @@
         self._fellows[life.name] = fellow
         self._names[life.nonce] = life.name
 
-    def _is_former(self, state: FellowState, known: _Fellow, now: float) -> bool:
+    def _is_former(self, state: PeerState, known: _Fellow, now: float) -> bool:
         """Tell whether a word is of a life before the known one.
 
         Lives are ordered by the time of day, which may jump back: then a VM that has
--- a/lagoonlever/decisions/fleet/line_keepers.py
+++ b/lagoonlever/decisions/fleet/line_keepers.py
@@ -10,7 +10,7 @@
 
 from collections.abc import Iterable
 
-from lagoonlever.decisions.fleet.fellows import FellowState
+from lagoonlever.decisions.fleet.fellows import PeerState
 from lagoonlever.decisions.fleet.news_paths import tells_directly
 from lagoonlever.decisions.fleet.rendezvous import ranked
 from lagoonlever.decisions.fleet.roles import Roles
@@ -20,7 +20,7 @@
 
 
 def line_keepers(
-    service: str, *, roles: Roles, own: str, leaving: bool, present: Iterable[FellowState]
+    service: str, *, roles: Roles, own: str, leaving: bool, present: Iterable[PeerState]
 ) -> tuple[str, ...]:
     """Give the VM that keeps a service's line, and who follows it; ``own`` may be among them."""
     fellows = list(present)
--- a/lagoonlever/decisions/fleet/news_paths.py
+++ b/lagoonlever/decisions/fleet/news_paths.py
@@ -11,7 +11,7 @@
 
 from collections.abc import Callable, Collection, Iterable
 
-from lagoonlever.decisions.fleet.fellows import FellowState
+from lagoonlever.decisions.fleet.fellows import PeerState
 from lagoonlever.decisions.fleet.roles import Roles
 from lagoonlever.decisions.streams.booked_runs import BookedRun
 
@@ -29,8 +29,8 @@
 
 
 def pushed_to(
-    known: Collection[FellowState], *, data_center: str, far_hubs: Iterable[str]
-) -> tuple[FellowState, ...]:
+    known: Collection[PeerState], *, data_center: str, far_hubs: Iterable[str]
+) -> tuple[PeerState, ...]:
     """Give the VMs that a reader in ``data_center`` tells of a change.
 
     ``known`` are all VMs, also those that were not heard of late: one that seems silent
@@ -44,8 +44,8 @@
 
 
 def passed_on_to(
-    known: Collection[FellowState], *, data_center: str, source: str, is_hub: bool
-) -> tuple[FellowState, ...]:
+    known: Collection[PeerState], *, data_center: str, source: str, is_hub: bool
+) -> tuple[PeerState, ...]:
     """Give the VMs that a VM in ``data_center`` passes news on to that was new to it.
 
     Only a hub does, and only with news from elsewhere: a reader nearby has told all VMs
--- a/lagoonlever/decisions/fleet/roles.py
+++ b/lagoonlever/decisions/fleet/roles.py
@@ -22,7 +22,7 @@
 
 import attrs
 
-from lagoonlever.decisions.fleet.fellows import FellowState
+from lagoonlever.decisions.fleet.fellows import PeerState
 from lagoonlever.decisions.fleet.rendezvous import ranked
 
 MESH_MOST = 12
@@ -54,8 +54,8 @@
 
 
 def roles_of(
-    own: FellowState,
-    fellows: Iterable[FellowState],
+    own: PeerState,
+    fellows: Iterable[PeerState],
     *,
     failed: frozenset[str] = frozenset(),
     isolated: bool = False,
@@ -66,7 +66,7 @@
     hub of late, so it can't count on anybody's word and reads for itself.
     """
     present = [own, *(fellow for fellow in fellows if not fellow.leaving)]
-    by_place: dict[str, list[FellowState]] = {}
+    by_place: dict[str, list[PeerState]] = {}
     for state in present:
         by_place.setdefault(state.data_center, []).append(state)
     hubs = {
@@ -86,7 +86,7 @@
     )
 
 
-def _readers(by_place: dict[str, list[FellowState]]) -> set[str]:
+def _readers(by_place: dict[str, list[PeerState]]) -> set[str]:
     """Give the readers: in each data centre the first of those that reach the store.
 
     For each one that does not reach it one more tries, so that a few steps find some that
@@ -104,7 +104,7 @@
     return readers
 
 
-def _first(states: list[FellowState], purpose: str, count: int) -> tuple[str, ...]:
+def _first(states: list[PeerState], purpose: str, count: int) -> tuple[str, ...]:
     """Give the first few by the width of their links, and by a hash where these are alike."""
     links = {state.life.name: state.link_mbps for state in states}
     by_hash = ranked(links, purpose=purpose)
--- a/lagoonlever/gateway/hub_spread.py
+++ b/lagoonlever/gateway/hub_spread.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from lagoonlever.decisions.fleet.fellows import FellowState
+from lagoonlever.decisions.fleet.fellows import PeerState
 from lagoonlever.decisions.fleet.news_paths import hubs_told, tells_directly
 from lagoonlever.decisions.fleet.roles import Roles
 from lagoonlever.gateway.beliefs import Beliefs
@@ -48,7 +48,7 @@
         self._bus.send_to_all(plain, for_plain)
 
     @property
-    def _fellows(self) -> tuple[FellowState, ...]:
+    def _fellows(self) -> tuple[PeerState, ...]:
         return self._beliefs.fellows.states
 
     @property
--- a/lagoonlever/gateway/knowledge.py
+++ b/lagoonlever/gateway/knowledge.py
@@ -13,7 +13,7 @@
 import msgspec
 import trio
 
-from lagoonlever.decisions.fleet.fellows import FellowState
+from lagoonlever.decisions.fleet.fellows import PeerState
 from lagoonlever.decisions.fleet.news_paths import passed_on_to, pushed_to
 from lagoonlever.decisions.fleet.roles import Roles
 from lagoonlever.decisions.targets.listed_target import ListedTarget, TargetChange
@@ -129,7 +129,7 @@
         return self._beliefs.book.data_center
 
     async def _receive_states(self) -> None:
-        async for received in self._bus.subscribe(FellowState):
+        async for received in self._bus.subscribe(PeerState):
             self._compare(received.message)
 
     async def _receive_digests(self) -> None:
@@ -138,7 +138,7 @@
                 for state in digest.news:
                     self._compare(state)
 
-    def _compare(self, state: FellowState) -> None:
+    def _compare(self, state: PeerState) -> None:
         """Ask a VM that knows more, once a push had time to tell."""
         now = self._timers.now
         targets = self._beliefs.targets
--- a/lagoonlever/gateway/parts.py
+++ b/lagoonlever/gateway/parts.py
@@ -8,7 +8,7 @@
 import attrs
 
 from lagoonlever.decisions.engines.engine_book import EngineBook
-from lagoonlever.decisions.fleet.fellows import FellowState, PeerTable
+from lagoonlever.decisions.fleet.fellows import PeerState, PeerTable
 from lagoonlever.decisions.settings.configuration import ClientLimits
 from lagoonlever.decisions.targets.named_limits import NamedLimits
 from lagoonlever.decisions.targets.registry import TargetRegistry
@@ -441,9 +441,9 @@
         """Tell whether this VM takes callers."""
         return self.beliefs.known.is_set() and not self.stopping()
 
-    def own_state(self) -> FellowState:
+    def own_state(self) -> PeerState:
         """Give what this VM says of itself."""
-        return FellowState(
+        return PeerState(
             life=self.life,
             data_center=self.settings.data_center,
             callers=self.settings.listen,
--- a/lagoonlever/gateway/presence.py
+++ b/lagoonlever/gateway/presence.py
@@ -21,7 +21,7 @@
     DISCOVERY_S,
     ANNOUNCE_INTERVAL_S,
     SILENCE_TIMEOUT_S,
-    FellowState,
+    PeerState,
     repeats_in_round,
 )
 from lagoonlever.decisions.fleet.hub_watch import HubWatch
@@ -53,7 +53,7 @@
     _bus: Bus
     _beliefs: Beliefs
     _timers: TimerService
-    _own_state: Callable[[], FellowState]
+    _own_state: Callable[[], PeerState]
     _seeds: tuple[Address, ...] = ()
     _greet: list[Callable[[Address], None]] = attrs.field(factory=list)
     _met: list[Callable[[Address], None]] = attrs.field(factory=list)
@@ -139,9 +139,9 @@
 
     def _roles_now(
         self,
-        own: FellowState,
+        own: PeerState,
         now: float,
-        present: tuple[FellowState, ...],
+        present: tuple[PeerState, ...],
         *,
         without: frozenset[str] = frozenset(),
     ) -> Roles:
@@ -154,7 +154,7 @@
             isolated=watch.is_isolated(now),
         )
 
-    def _present(self, now: float) -> tuple[FellowState, ...]:
+    def _present(self, now: float) -> tuple[PeerState, ...]:
         return self._beliefs.fellows.present(now)
 
     def _watch_hubs(self, roles: Roles, now: float) -> None:
@@ -179,7 +179,7 @@
         if former is None or _duties(former) != _duties(roles):
             events.ROLES.log(log, reads=roles.reads_store, hub=roles.is_hub, mesh=roles.mesh)
 
-    def _say(self, own: FellowState, roles: Roles, now: float) -> None:
+    def _say(self, own: PeerState, roles: Roles, now: float) -> None:
         """Speak to every VM of a small fleet, of a larger one to one hub after the other.
 
         A hub answers whoever has spoken to it. With each word to both hubs a VM at rest
@@ -211,7 +211,7 @@
             if fellow is not None:
                 self._bus.send(fellow.bus, message)
 
-    def _gather(self, own: FellowState, roles: Roles, now: float) -> None:
+    def _gather(self, own: PeerState, roles: Roles, now: float) -> None:
         """Tell whom this VM has heard, if any VM speaks to it, and what hubs elsewhere told."""
         speakers = self._speakers(own, now)
         if not speakers:
@@ -236,7 +236,7 @@
             for number in not_covered([frozenset(digest.heard) for digest in digests])
         ]
 
-    def _speakers(self, own: FellowState, now: float) -> list[FellowState]:
+    def _speakers(self, own: PeerState, now: float) -> list[PeerState]:
         """Give the VMs of this data centre that speak to this one."""
         self._direct = {
             name: at for name, at in self._direct.items() if now - at <= SILENCE_TIMEOUT_S
@@ -244,12 +244,12 @@
         known = [self._beliefs.fellows.find(name) for name in self._direct]
         return [s for s in known if s is not None and s.data_center == own.data_center]
 
-    def _remote_hubs(self, own: FellowState) -> list[FellowState]:
+    def _remote_hubs(self, own: PeerState) -> list[PeerState]:
         """Give the hubs elsewhere that speak to this VM, so take it for a hub too."""
         known = [self._beliefs.fellows.find(hub) for hub in self._told_by]
         return [s for s in known if s is not None and s.data_center != own.data_center]
 
-    def _digest(self, own: FellowState, speakers: list[FellowState]) -> FellowDigest:
+    def _digest(self, own: PeerState, speakers: list[PeerState]) -> FellowDigest:
         told = [own]
         for number, state in enumerate(speakers):
             # Each VM gets every other digest of a hub, so each state is in two that follow.
@@ -265,10 +265,10 @@
         )
 
     async def _receive_states(self) -> None:
-        async for received in self._bus.subscribe(FellowState):
+        async for received in self._bus.subscribe(PeerState):
             self._take_state(received.message)
 
-    def _take_state(self, state: FellowState) -> None:
+    def _take_state(self, state: PeerState) -> None:
         now = self._timers.now
         former = self._beliefs.fellows.find(state.life.name)
         self._direct[state.life.name] = now
@@ -278,7 +278,7 @@
         if self._beliefs.fellows.record_state(state, now):
             self._meet(state, former)
 
-    def _meet(self, state: FellowState, former: FellowState | None) -> None:
+    def _meet(self, state: PeerState, former: PeerState | None) -> None:
         """Answer a VM that is new here; what its former life ran is gone."""
         events.FELLOW_LISTED.log(log, vm=state.life.name, life=str(state.life), state="heard")
         if former is not None and former.life != state.life:
@@ -309,7 +309,7 @@
         if self._passes_on(digest, own):
             self._passing[digest.hub] = digest
 
-    def _passes_on(self, digest: FellowDigest, own: FellowState) -> bool:
+    def _passes_on(self, digest: FellowDigest, own: PeerState) -> bool:
         """Tell whether the VMs that speak to this one are to get a hub's digest.
 
         Those of other data centres, which this VM gets for them. And, where this VM takes
@@ -341,7 +341,7 @@
         own, now = self._own_state(), self._timers.now
         fellows = self._beliefs.fellows
         roles = self._roles_now(own, now, self._present(now))
-        told: tuple[FellowState, ...] = fellows.states
+        told: tuple[PeerState, ...] = fellows.states
         if not roles.mesh and not self._speakers(own, now):
             names = (*roles.hubs, *roles.other_hubs)
             told = tuple(state for state in fellows.states if state.life.name in names)
@@ -363,7 +363,7 @@
         if new:
             self._say(own, self._roles_now(own, now, self._present(now)), now)
 
-    def _note_silent(self, present: tuple[FellowState, ...]) -> None:
+    def _note_silent(self, present: tuple[PeerState, ...]) -> None:
         """Log who fell silent or came back, and tell those who counted on the silent ones."""
         known = {state.life.name for state in self._beliefs.fellows.states}
         silent = known - {state.life.name for state in present}
@@ -375,14 +375,14 @@
             self._tell_met(name)
         self._silent = silent
 
-    def _ask_seeds(self, own: FellowState) -> None:
+    def _ask_seeds(self, own: PeerState) -> None:
         """Make this VM known to the seeds until it knows somebody who lives."""
         for seed in self._seeds:
             if seed != own.bus:
                 self._bus.send(seed, own)
                 self._bus.send(seed, FellowAsk(reply_to=own.bus))
 
-    def _ask_fellow(self, present: tuple[FellowState, ...], now: float) -> None:
+    def _ask_fellow(self, present: tuple[PeerState, ...], now: float) -> None:
         """Ask one VM after the other who is there, where nobody passes on who lives.
 
         Two VMs that started together may each have asked a seed before it took in the word of
--- a/lagoonlever/gateway/register.py
+++ b/lagoonlever/gateway/register.py
@@ -8,7 +8,7 @@
 import logbook
 import msgspec
 
-from lagoonlever.decisions.fleet.fellows import FellowState, PeerTable
+from lagoonlever.decisions.fleet.fellows import PeerState, PeerTable
 from lagoonlever.gateway import events
 from lagoonlever.http.messages import Address
 from lagoonlever.identity import Incarnation
@@ -33,7 +33,7 @@
     return f"{REGISTER_PREFIX}{own}"
 
 
-def encode_entry(state: FellowState) -> bytes:
+def encode_entry(state: PeerState) -> bytes:
     """Give the value that a VM writes under its key."""
     entry = RegisterEntry(
         callers=str(state.callers), bus=str(state.bus), data_center=state.data_center
@@ -59,7 +59,7 @@
             return
         try:
             read = msgspec.json.decode(entry.value, type=RegisterEntry)
-            state = FellowState(
+            state = PeerState(
                 life=life,
                 data_center=read.data_center,
                 callers=Address.parse(read.callers),
--- a/lagoonlever/gateway/registration.py
+++ b/lagoonlever/gateway/registration.py
@@ -13,7 +13,7 @@
 import logbook
 import trio
 
-from lagoonlever.decisions.fleet.fellows import FellowState
+from lagoonlever.decisions.fleet.fellows import PeerState
 from lagoonlever.decisions.fleet.roles import Roles
 from lagoonlever.exceptions import PlatformError
 from lagoonlever.gateway import events
@@ -44,7 +44,7 @@
     _beliefs: Beliefs
     _roles: Published[Roles | None]
     _timers: TimerService
-    _own: FellowState
+    _own: PeerState
     _rng: random.Random
     _lease: Lease | None = None
     _leaving: bool = False
--- a/lagoonlever/gateway/run_relay.py
+++ b/lagoonlever/gateway/run_relay.py
@@ -22,7 +22,7 @@
 import trio
 
 from lagoonlever.codec import UnknownMessage
-from lagoonlever.decisions.fleet.fellows import FellowState
+from lagoonlever.decisions.fleet.fellows import PeerState
 from lagoonlever.decisions.fleet.news_paths import concerned_by_losses, tells_directly
 from lagoonlever.decisions.fleet.roles import Roles
 from lagoonlever.decisions.streams.booked_runs import BookedRun
@@ -157,19 +157,19 @@
             lost: list[RunChange] = [c for c in near if isinstance(c, EngineLost)]
             self._send(NewsStage.TELL, lost, self._concerned(lost, by_name, hubs))
 
-    def _send(self, stage: NewsStage, changes: list[RunChange], to: list[FellowState]) -> None:
+    def _send(self, stage: NewsStage, changes: list[RunChange], to: list[PeerState]) -> None:
         if changes and to:
             self._bus.send_to_all([state.bus for state in to], _packed(stage, changes))
 
-    def _near_hubs(self, present: dict[str, FellowState]) -> list[FellowState]:
+    def _near_hubs(self, present: dict[str, PeerState]) -> list[PeerState]:
         """Give the other hubs of this data centre."""
         roles = self._roles.value
         names = roles.hubs if roles is not None else ()
         return [present[name] for name in names if name in present]
 
     def _concerned(
-        self, lost: list[RunChange], present: dict[str, FellowState], told: list[FellowState]
-    ) -> list[FellowState]:
+        self, lost: list[RunChange], present: dict[str, PeerState], told: list[PeerState]
+    ) -> list[PeerState]:
         """Give the VMs of this data centre that are to hear of lost engines, but for ``told``."""
         engines = {change.engine for change in lost if isinstance(change, EngineLost)}
         if not engines:
@@ -184,10 +184,10 @@
         target = self._beliefs.targets.find(engine)
         return target.data_center if target is not None else None
 
-    def _far_hubs(self, present: dict[str, FellowState]) -> list[FellowState]:
+    def _far_hubs(self, present: dict[str, PeerState]) -> list[PeerState]:
         """Give one hub of each other data centre, the first that is not silent."""
         roles = self._roles.value
-        chosen: dict[str, FellowState] = {}
+        chosen: dict[str, PeerState] = {}
         for name in roles.other_hubs if roles is not None else ():
             state = present.get(name)
             if state is not None:
--- a/lagoonlever/peers/messages_gateway.py
+++ b/lagoonlever/peers/messages_gateway.py
@@ -10,7 +10,7 @@
 
 import attrs
 
-from lagoonlever.decisions.fleet.fellows import FellowState
+from lagoonlever.decisions.fleet.fellows import PeerState
 from lagoonlever.decisions.streams.booked_runs import BookedRun, RunCopy
 from lagoonlever.decisions.targets.listed_target import ListedTarget, TargetChange
 from lagoonlever.decisions.targets.load_view import MOMENT_S
@@ -19,7 +19,7 @@
 from lagoonlever.peers.messages import PEER
 from lagoonlever.revisions import NOWHERE, Revision
 
-PEER.message("gs")(FellowState)
+PEER.message("gs")(PeerState)
 PEER.message("gr")(BookedRun)
 
 
@@ -31,7 +31,7 @@
     data_center: str
     heard: tuple[int, ...]
     """The random numbers of their lives."""
-    news: tuple[FellowState, ...] = ()
+    news: tuple[PeerState, ...] = ()
     """States that changed since the last digest, and some of the others in turn."""
 
 
@@ -60,7 +60,7 @@
 class FellowList:
     """VMs that the sender knows; they may be silent or gone."""
 
-    fellows: tuple[FellowState, ...]
+    fellows: tuple[PeerState, ...]
 
 
 @PEER.message("gw")
--- a/lagoonlever/tests/fellows_tests.py
+++ b/lagoonlever/tests/fellows_tests.py
@@ -14,7 +14,7 @@
     NEWS_ROUNDS,
     REPEATED_MOST,
     SILENCE_TIMEOUT_S,
-    FellowState,
+    PeerState,
     PeerTable,
     repeats_in_round,
 )
@@ -24,8 +24,8 @@
 OWN = Incarnation(name="vm-0", started_ms=1, nonce=0)
 
 
-def state(name: str = "vm-1", *, started_ms: int = 1, **more: object) -> FellowState:
-    made = FellowState(
+def state(name: str = "vm-1", *, started_ms: int = 1, **more: object) -> PeerState:
+    made = PeerState(
         life=Incarnation(name=name, started_ms=started_ms, nonce=7),
         data_center="a",
         callers=Address(host="10.0.0.1", port=80),
--- a/lagoonlever/tests/roles_tests.py
+++ b/lagoonlever/tests/roles_tests.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from lagoonlever.decisions.fleet.fellows import FellowState
+from lagoonlever.decisions.fleet.fellows import PeerState
 from lagoonlever.decisions.fleet.roles import HUBS, LEAST_READERS, MESH_MOST, roles_of
 from lagoonlever.http.messages import Address
 from lagoonlever.identity import Incarnation
@@ -10,9 +10,9 @@
 PLACES = ("a", "b", "c")
 
 
-def fleet(count: int, *, wide: int = 0, away: frozenset[int] = frozenset()) -> list[FellowState]:
+def fleet(count: int, *, wide: int = 0, away: frozenset[int] = frozenset()) -> list[PeerState]:
     return [
-        FellowState(
+        PeerState(
             life=Incarnation(name=f"vm-{number}", started_ms=1, nonce=number),
             data_center=PLACES[number % 3],
             callers=Address(host=f"10.0.0.{number}", port=1),
@@ -24,7 +24,7 @@
     ]
 
 
-def readers(states: list[FellowState]) -> set[str]:
+def readers(states: list[PeerState]) -> set[str]:
     return {s.life.name for s in states if roles_of(s, [o for o in states if o != s]).reads_store}
 
 
