--- a/lagoonlever/bench/local_fleet.py
+++ b/lagoonlever/bench/local_fleet.py
@@ -10,7 +10,7 @@
 import trio.testing
 
 from lagoonlever.decisions.engines.engine_book import EngineBook
-from lagoonlever.decisions.fleet.fellows import PeerState, PeerTable
+from lagoonlever.decisions.fleet.peer_table import PeerState, PeerTable
 from lagoonlever.gateway.beliefs import Beliefs
 from lagoonlever.gateway.daemon import LONGEST_WAIT_S
 from lagoonlever.gateway.knowledge import KnowledgeExchange
--- a/lagoonlever/decisions/fleet/news_paths.py
+++ b/lagoonlever/decisions/fleet/news_paths.py
@@ -11,7 +11,7 @@
 
 from collections.abc import Callable, Collection, Iterable
 
-from lagoonlever.decisions.fleet.fellows import PeerState
+from lagoonlever.decisions.fleet.peer_table import PeerState
 from lagoonlever.decisions.fleet.roles import Roles
 from lagoonlever.decisions.streams.booked_runs import BookedRun
 
--- a/lagoonlever/decisions/fleet/roles.py
+++ b/lagoonlever/decisions/fleet/roles.py
@@ -22,7 +22,7 @@
 
 import attrs
 
-from lagoonlever.decisions.fleet.fellows import PeerState
+from lagoonlever.decisions.fleet.peer_table import PeerState
 from lagoonlever.decisions.fleet.rendezvous import ranked
 
 MESH_MOST = 12
--- a/lagoonlever/gateway/beliefs.py
+++ b/lagoonlever/gateway/beliefs.py
@@ -6,7 +6,7 @@
 import trio
 
 from lagoonlever.decisions.engines.engine_book import EngineBook
-from lagoonlever.decisions.fleet.fellows import PeerTable
+from lagoonlever.decisions.fleet.peer_table import PeerTable
 from lagoonlever.decisions.settings.configuration import Configuration, EngineLimits
 from lagoonlever.decisions.targets.load_view import TargetLoads
 from lagoonlever.decisions.targets.registry import TargetRegistry
--- a/lagoonlever/gateway/parts.py
+++ b/lagoonlever/gateway/parts.py
@@ -8,7 +8,7 @@
 import attrs
 
 from lagoonlever.decisions.engines.engine_book import EngineBook
-from lagoonlever.decisions.fleet.fellows import PeerState, PeerTable
+from lagoonlever.decisions.fleet.peer_table import PeerState, PeerTable
 from lagoonlever.decisions.settings.configuration import ClientLimits
 from lagoonlever.decisions.targets.named_limits import NamedLimits
 from lagoonlever.decisions.targets.registry import TargetRegistry
--- a/lagoonlever/gateway/presence.py
+++ b/lagoonlever/gateway/presence.py
@@ -16,7 +16,7 @@
 import trio
 
 from lagoonlever.decisions.fleet.digests import not_covered
-from lagoonlever.decisions.fleet.fellows import (
+from lagoonlever.decisions.fleet.peer_table import (
     HUB_SILENCE_TIMEOUT_S,
     DISCOVERY_S,
     ANNOUNCE_INTERVAL_S,
--- a/lagoonlever/gateway/program.py
+++ b/lagoonlever/gateway/program.py
@@ -13,7 +13,7 @@
 import logbook
 import trio
 
-from lagoonlever.decisions.fleet.fellows import ANNOUNCE_INTERVAL_S
+from lagoonlever.decisions.fleet.peer_table import ANNOUNCE_INTERVAL_S
 from lagoonlever.exceptions import FaultsError
 from lagoonlever.gateway import events
 from lagoonlever.gateway.daemon import GatewayDaemon
--- a/lagoonlever/gateway/register.py
+++ b/lagoonlever/gateway/register.py
@@ -8,7 +8,7 @@
 import logbook
 import msgspec
 
-from lagoonlever.decisions.fleet.fellows import PeerState, PeerTable
+from lagoonlever.decisions.fleet.peer_table import PeerState, PeerTable
 from lagoonlever.gateway import events
 from lagoonlever.http.messages import Address
 from lagoonlever.identity import Incarnation
--- a/lagoonlever/gateway/registration.py
+++ b/lagoonlever/gateway/registration.py
@@ -13,7 +13,7 @@
 import logbook
 import trio
 
-from lagoonlever.decisions.fleet.fellows import PeerState
+from lagoonlever.decisions.fleet.peer_table import PeerState
 from lagoonlever.decisions.fleet.roles import Roles
 from lagoonlever.exceptions import PlatformError
 from lagoonlever.gateway import events
--- a/lagoonlever/peers/messages_gateway.py
+++ b/lagoonlever/peers/messages_gateway.py
@@ -10,7 +10,7 @@
 
 import attrs
 
-from lagoonlever.decisions.fleet.fellows import PeerState
+from lagoonlever.decisions.fleet.peer_table import PeerState
 from lagoonlever.decisions.streams.booked_runs import BookedRun, RunCopy
 from lagoonlever.decisions.targets.listed_target import ListedTarget, TargetChange
 from lagoonlever.decisions.targets.load_view import MOMENT_S
--- a/lagoonlever/tests/fellows_tests.py
+++ b/lagoonlever/tests/fellows_tests.py
@@ -7,7 +7,7 @@
 import attrs
 import pytest
 
-from lagoonlever.decisions.fleet.fellows import (
+from lagoonlever.decisions.fleet.peer_table import (
     FLEET_AT_START,
     FORGET_S,
     DISCOVERY_S,
--- a/lagoonlever/tests/roles_tests.py
+++ b/lagoonlever/tests/roles_tests.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from lagoonlever.decisions.fleet.fellows import PeerState
+from lagoonlever.decisions.fleet.peer_table import PeerState
 from lagoonlever.decisions.fleet.roles import HUBS, LEAST_READERS, MESH_MOST, roles_of
 from lagoonlever.http.messages import Address
 from lagoonlever.identity import Incarnation
--- a/lagoonlever/tests/store_documents_tests.py
+++ b/lagoonlever/tests/store_documents_tests.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lagoonlever.decisions.fleet.fellows import PeerTable
+from lagoonlever.decisions.fleet.peer_table import PeerTable
 from lagoonlever.gateway.register import REGISTER_PREFIX, Register
 from lagoonlever.identity import Incarnation
 from lagoonlever.platform.configuration import UnreadableConfiguration, read_configuration
