--- a/lagoonlever/decisions/fleet/line_keepers.py
+++ b/lagoonlever/decisions/fleet/line_keepers.py
@@ -10,8 +10,8 @@
 
 from collections.abc import Iterable
 
-from lagoonlever.decisions.fleet.peer_table import PeerState
 from lagoonlever.decisions.fleet.news_paths import tells_directly
+from lagoonlever.decisions.fleet.peer_table import PeerState
 from lagoonlever.decisions.fleet.rendezvous import ranked
 from lagoonlever.decisions.fleet.roles import Roles
 
--- a/lagoonlever/gateway/hub_spread.py
+++ b/lagoonlever/gateway/hub_spread.py
@@ -6,8 +6,8 @@
 
 import attrs
 
-from lagoonlever.decisions.fleet.peer_table import PeerState
 from lagoonlever.decisions.fleet.news_paths import hubs_told, tells_directly
+from lagoonlever.decisions.fleet.peer_table import PeerState
 from lagoonlever.decisions.fleet.roles import Roles
 from lagoonlever.gateway.beliefs import Beliefs
 from lagoonlever.peers.interface import Bus
--- a/lagoonlever/gateway/knowledge.py
+++ b/lagoonlever/gateway/knowledge.py
@@ -13,8 +13,8 @@
 import msgspec
 import trio
 
-from lagoonlever.decisions.fleet.peer_table import PeerState
 from lagoonlever.decisions.fleet.news_paths import passed_on_to, pushed_to
+from lagoonlever.decisions.fleet.peer_table import PeerState
 from lagoonlever.decisions.fleet.roles import Roles
 from lagoonlever.decisions.targets.listed_target import ListedTarget, TargetChange
 from lagoonlever.gateway import events
--- a/lagoonlever/gateway/presence.py
+++ b/lagoonlever/gateway/presence.py
@@ -16,15 +16,15 @@
 import trio
 
 from lagoonlever.decisions.fleet.digests import not_covered
+from lagoonlever.decisions.fleet.hub_watch import HubWatch
 from lagoonlever.decisions.fleet.peer_table import (
-    HUB_SILENCE_TIMEOUT_S,
-    DISCOVERY_S,
     ANNOUNCE_INTERVAL_S,
+    DISCOVERY_S,
+    HUB_SILENCE_TIMEOUT_S,
     SILENCE_TIMEOUT_S,
     PeerState,
     repeats_in_round,
 )
-from lagoonlever.decisions.fleet.hub_watch import HubWatch
 from lagoonlever.decisions.fleet.roles import HUBS, Roles, roles_of
 from lagoonlever.gateway import events
 from lagoonlever.gateway.beliefs import Beliefs
--- a/lagoonlever/gateway/run_relay.py
+++ b/lagoonlever/gateway/run_relay.py
@@ -22,8 +22,8 @@
 import trio
 
 from lagoonlever.codec import UnknownMessage
-from lagoonlever.decisions.fleet.peer_table import PeerState
 from lagoonlever.decisions.fleet.news_paths import concerned_by_losses, tells_directly
+from lagoonlever.decisions.fleet.peer_table import PeerState
 from lagoonlever.decisions.fleet.roles import Roles
 from lagoonlever.decisions.streams.booked_runs import BookedRun
 from lagoonlever.gateway import events
--- a/lagoonlever/tests/fellows_tests.py
+++ b/lagoonlever/tests/fellows_tests.py
@@ -8,9 +8,9 @@
 import pytest
 
 from lagoonlever.decisions.fleet.peer_table import (
+    DISCOVERY_S,
     FLEET_AT_START,
     FORGET_S,
-    DISCOVERY_S,
     NEWS_ROUNDS,
     REPEATED_MOST,
     SILENCE_TIMEOUT_S,
