--- a/lagoonlever/gateway/presence.py
+++ b/lagoonlever/gateway/presence.py
@@ -273,7 +273,7 @@
         former = self._beliefs.fellows.find(state.life.name)
         self._direct[state.life.name] = now
         self._spoke.add(state.life.name)
-        if state.is_news_after(former):
+        if state.is_update_of(former):
             self._fresh[state.life.name] = ROUNDS_TOLD
         if self._beliefs.fellows.record_state(state, now):
             self._meet(state, former)
