--- a/lagoonlever/tests/fellows_tests.py
+++ b/lagoonlever/tests/fellows_tests.py
@@ -35,7 +35,7 @@
 
 
 def names(table: PeerTable, now: float) -> list[str]:
-    return [each.life.name for each in table.offered(now)]
+    return [each.life.name for each in table.accepting_callers(now)]
 
 
 def test_a_vm_that_falls_silent_is_left_out_and_comes_back() -> None:
--- a/lagoonlever/tests/limits_fleet_tests.py
+++ b/lagoonlever/tests/limits_fleet_tests.py
@@ -154,7 +154,7 @@
             scope.cancel()
         vm.beliefs.fellows.silent_s = float("inf")
         for state in states:
-            vm.beliefs.fellows.heard(state, trio.current_time())
+            vm.beliefs.fellows.record_state(state, trio.current_time())
         others = [state for state in states if state != vm.state]
         vm.presence.roles.publish(roles_of(vm.state, others))
 
