--- a/lagoonlever/decisions/fleet/roles.py
+++ b/lagoonlever/decisions/fleet/roles.py
@@ -53,7 +53,7 @@
     """The hubs of the other data centres."""
 
 
-def roles_of(
+def assign_roles(
     own: PeerState,
     fellows: Iterable[PeerState],
     *,
--- a/lagoonlever/gateway/presence.py
+++ b/lagoonlever/gateway/presence.py
@@ -25,7 +25,7 @@
     PeerState,
     repeats_in_round,
 )
-from lagoonlever.decisions.fleet.roles import HUBS, Roles, roles_of
+from lagoonlever.decisions.fleet.roles import HUBS, Roles, assign_roles
 from lagoonlever.gateway import events
 from lagoonlever.gateway.beliefs import Beliefs
 from lagoonlever.http.messages import Address
@@ -147,7 +147,7 @@
     ) -> Roles:
         """Work out the roles; ``without`` names hubs that are left out for a moment."""
         watch = self._hub_watch
-        return roles_of(
+        return assign_roles(
             own,
             present,
             failed=watch.failed(now) | without,
@@ -199,7 +199,7 @@
             hubs = tuple(dict.fromkeys((*roles.hubs, *others)))
         if self._hub_watch.is_isolated(now):
             # This VM may have been cut off, and passes over hubs that were there all along.
-            hubs = tuple(dict.fromkeys((*hubs, *roles_of(own, self._present(now)).hubs)))
+            hubs = tuple(dict.fromkeys((*hubs, *assign_roles(own, self._present(now)).hubs)))
         for hub in hubs:
             if hub != own.life.name:
                 self._hub_watch.spoke_to(hub, now)
--- a/lagoonlever/tests/limits_fleet_tests.py
+++ b/lagoonlever/tests/limits_fleet_tests.py
@@ -10,7 +10,7 @@
 import trio
 
 from lagoonlever.bench.local_fleet import Fleet, FleetVm, run_fleet, start_many
-from lagoonlever.decisions.fleet.roles import roles_of
+from lagoonlever.decisions.fleet.roles import assign_roles
 from lagoonlever.decisions.targets.limit_permits import FIRST_NEED, Granted
 from lagoonlever.decisions.targets.listed_target import ListedTarget, TargetChange
 from lagoonlever.decisions.targets.named_limits import NamedLimits
@@ -156,7 +156,7 @@
         for state in states:
             vm.beliefs.fellows.record_state(state, trio.current_time())
         others = [state for state in states if state != vm.state]
-        vm.presence.roles.publish(roles_of(vm.state, others))
+        vm.presence.roles.publish(assign_roles(vm.state, others))
 
 
 async def started(fleet: Fleet, count: int) -> list[LimitVm]:
--- a/lagoonlever/tests/roles_tests.py
+++ b/lagoonlever/tests/roles_tests.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from lagoonlever.decisions.fleet.peer_table import PeerState
-from lagoonlever.decisions.fleet.roles import HUBS, LEAST_READERS, MESH_MOST, roles_of
+from lagoonlever.decisions.fleet.roles import HUBS, LEAST_READERS, MESH_MOST, assign_roles
 from lagoonlever.http.messages import Address
 from lagoonlever.identity import Incarnation
 
@@ -25,13 +25,15 @@
 
 
 def readers(states: list[PeerState]) -> set[str]:
-    return {s.life.name for s in states if roles_of(s, [o for o in states if o != s]).reads_store}
+    return {
+        s.life.name for s in states if assign_roles(s, [o for o in states if o != s]).reads_store
+    }
 
 
 def test_views_that_agree_give_the_same_roles() -> None:
     states = fleet(69)
     assert len(readers(states)) == LEAST_READERS
-    hubs = {roles_of(s, [o for o in states if o != s]).hubs for s in states}
+    hubs = {assign_roles(s, [o for o in states if o != s]).hubs for s in states}
     assert len(hubs) == len(PLACES) and all(len(each) == HUBS for each in hubs)
 
 
@@ -53,16 +55,16 @@
 def test_an_isolated_vm_reads_and_a_failed_hub_is_not_chosen() -> None:
     states = fleet(30)
     own, others = states[20], [s for s in states if s is not states[20]]
-    usual = roles_of(own, others)
+    usual = assign_roles(own, others)
     assert not usual.reads_store
-    assert roles_of(own, others, isolated=True).reads_store
-    assert usual.hubs[0] not in roles_of(own, others, failed=frozenset(usual.hubs[:1])).hubs
+    assert assign_roles(own, others, isolated=True).reads_store
+    assert usual.hubs[0] not in assign_roles(own, others, failed=frozenset(usual.hubs[:1])).hubs
 
 
 def test_a_small_fleet_is_a_mesh() -> None:
     states = fleet(MESH_MOST + 1)
-    assert not roles_of(states[0], states[1:]).mesh
-    assert roles_of(states[0], states[1:MESH_MOST]).mesh
+    assert not assign_roles(states[0], states[1:]).mesh
+    assert assign_roles(states[0], states[1:MESH_MOST]).mesh
 
 
 def test_readers_that_are_turned_away_together_are_no_outage() -> None:
