--- a/lagoonlever/bench/target_limits_model.py
+++ b/lagoonlever/bench/target_limits_model.py
@@ -12,7 +12,7 @@
 
 import attrs
 
-from lagoonlever.decisions.fleet.rendezvous import ranked
+from lagoonlever.decisions.fleet.rendezvous import rank_by_hash
 from lagoonlever.decisions.targets.limit_permits import (
     FIRST_NEED,
     Granted,
@@ -143,7 +143,7 @@
 
     def _by_rank(self, target: str) -> list[str]:
         if target not in self._ranks:
-            self._ranks[target] = ranked(self._names, purpose=f"limit {target}")
+            self._ranks[target] = rank_by_hash(self._names, purpose=f"limit {target}")
         return self._ranks[target]
 
     def _ask(self, vm: str, target: str, counter: str, dead: str, now: float) -> bool:
--- a/lagoonlever/decisions/engines/suspect_gathering.py
+++ b/lagoonlever/decisions/engines/suspect_gathering.py
@@ -10,7 +10,7 @@
 
 from collections.abc import Container, Mapping
 
-from lagoonlever.decisions.fleet.rendezvous import ranked
+from lagoonlever.decisions.fleet.rendezvous import rank_by_hash
 
 
 def gathering_engine(
@@ -22,4 +22,4 @@
     while these, and the processes that have ``ended`` under the request, agree with the others'.
     """
     names = [engine for engine, process in processes.items() if process not in ended]
-    return next(iter(ranked(names, purpose=f"suspect|{fingerprint}")), None)
+    return next(iter(rank_by_hash(names, purpose=f"suspect|{fingerprint}")), None)
--- a/lagoonlever/decisions/fleet/line_keepers.py
+++ b/lagoonlever/decisions/fleet/line_keepers.py
@@ -12,7 +12,7 @@
 
 from lagoonlever.decisions.fleet.news_paths import tells_directly
 from lagoonlever.decisions.fleet.peer_table import PeerState
-from lagoonlever.decisions.fleet.rendezvous import ranked
+from lagoonlever.decisions.fleet.rendezvous import rank_by_hash
 from lagoonlever.decisions.fleet.roles import Roles
 
 NEXT_ASKED = 2
@@ -29,4 +29,4 @@
         staying &= {*roles.hubs, *roles.other_hubs}
     if not leaving and (roles.is_hub or tells_directly(len(fellows))):
         staying.add(own)
-    return tuple(ranked(staying, purpose=f"line {service}"))
+    return tuple(rank_by_hash(staying, purpose=f"line {service}"))
--- a/lagoonlever/decisions/fleet/rendezvous.py
+++ b/lagoonlever/decisions/fleet/rendezvous.py
@@ -11,7 +11,7 @@
 """Hashes that are kept: some purposes of a thousand names."""
 
 
-def ranked(names: Iterable[str], *, purpose: str) -> list[str]:
+def rank_by_hash(names: Iterable[str], *, purpose: str) -> list[str]:
     """Give the names by the hash of purpose and name.
 
     While views agree every VM finds the same first few; where they differ by a name,
--- a/lagoonlever/decisions/fleet/roles.py
+++ b/lagoonlever/decisions/fleet/roles.py
@@ -23,7 +23,7 @@
 import attrs
 
 from lagoonlever.decisions.fleet.peer_table import PeerState
-from lagoonlever.decisions.fleet.rendezvous import ranked
+from lagoonlever.decisions.fleet.rendezvous import rank_by_hash
 
 MESH_MOST = 12
 """Up to this many VMs every one speaks to every other."""
@@ -107,5 +107,5 @@
 def _first(states: list[PeerState], purpose: str, count: int) -> tuple[str, ...]:
     """Give the first few by the width of their links, and by a hash where these are alike."""
     links = {state.life.name: state.link_mbps for state in states}
-    by_hash = ranked(links, purpose=purpose)
+    by_hash = rank_by_hash(links, purpose=purpose)
     return tuple(sorted(by_hash, key=lambda name: -links[name])[:count])
--- a/lagoonlever/decisions/settings/settings_watchers.py
+++ b/lagoonlever/decisions/settings/settings_watchers.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from lagoonlever.decisions.fleet.rendezvous import ranked
+from lagoonlever.decisions.fleet.rendezvous import rank_by_hash
 from lagoonlever.decisions.membership.membership import MemberView
 from lagoonlever.identity import Incarnation
 
@@ -19,7 +19,7 @@
     if own is None:
         return True
     near = [member.name for member in view.alive if member.data_center == own.data_center]
-    first = ranked({*near, own.name}, purpose="settings-watcher")[:per_data_center]
+    first = rank_by_hash({*near, own.name}, purpose="settings-watcher")[:per_data_center]
     return own.name in first
 
 
--- a/lagoonlever/decisions/targets/call_desks.py
+++ b/lagoonlever/decisions/targets/call_desks.py
@@ -11,7 +11,7 @@
 
 from collections.abc import Iterable
 
-from lagoonlever.decisions.fleet.rendezvous import ranked
+from lagoonlever.decisions.fleet.rendezvous import rank_by_hash
 
 RUNNERS_A_DESK = 6
 """Some 530 calls a second of 68 ms at 36 slots, 1,600 messages: a third of a core."""
@@ -19,11 +19,11 @@
 
 def groups_of(service: str, runners: Iterable[str]) -> tuple[tuple[str, ...], ...]:
     """Give the runners of a service in groups, each with its own desk."""
-    ordered = ranked(runners, purpose=f"calls {service}")
+    ordered = rank_by_hash(runners, purpose=f"calls {service}")
     count = -(-len(ordered) // RUNNERS_A_DESK)
     return tuple(tuple(ordered[number::count]) for number in range(count))
 
 
 def desks_of(service: str, group: int, vms: Iterable[str]) -> list[str]:
     """Give the VMs in the order in which they are asked for places of a group."""
-    return ranked(vms, purpose=f"calls {service} {group}")
+    return rank_by_hash(vms, purpose=f"calls {service} {group}")
--- a/lagoonlever/decisions/targets/limit_permits.py
+++ b/lagoonlever/decisions/targets/limit_permits.py
@@ -18,7 +18,7 @@
 
 import attrs
 
-from lagoonlever.decisions.fleet.rendezvous import ranked
+from lagoonlever.decisions.fleet.rendezvous import rank_by_hash
 
 LEAST_PER_S = 0.25
 """Of a target that takes less, or nothing: an answer now and then shows when that is over."""
@@ -80,7 +80,7 @@
 
 def counters_of(target: str, vms: Iterable[str]) -> list[str]:
     """Give the VM that counts the requests to a target, and then the one that stands in for it."""
-    return ranked(vms, purpose=f"limit {target}")[:2]
+    return rank_by_hash(vms, purpose=f"limit {target}")[:2]
 
 
 @attrs.define(kw_only=True)
