--- a/lagoonlever/decisions/fleet/digests.py
+++ b/lagoonlever/decisions/fleet/digests.py
@@ -6,7 +6,7 @@
 from collections.abc import Set as AbstractSet
 
 
-def not_covered(heard: Sequence[AbstractSet[int]]) -> list[int]:
+def maximal_digests(heard: Sequence[AbstractSet[int]]) -> list[int]:
     """Give the numbers of those sets of lives that no other one contains; of equal ones the last.
 
     The hubs of a data centre have heard the same VMs but for moments, so one of their
--- a/lagoonlever/gateway/presence.py
+++ b/lagoonlever/gateway/presence.py
@@ -15,7 +15,7 @@
 import logbook
 import trio
 
-from lagoonlever.decisions.fleet.digests import not_covered
+from lagoonlever.decisions.fleet.digests import maximal_digests
 from lagoonlever.decisions.fleet.hub_watch import HubWatch
 from lagoonlever.decisions.fleet.peer_table import (
     ANNOUNCE_INTERVAL_S,
@@ -233,7 +233,7 @@
         return [
             digests[number]
             for digests in by_place.values()
-            for number in not_covered([frozenset(digest.heard) for digest in digests])
+            for number in maximal_digests([frozenset(digest.heard) for digest in digests])
         ]
 
     def _speakers(self, own: PeerState, now: float) -> list[PeerState]:
