--- a/lagoonlever/decisions/fleet/hub_watch.py
+++ b/lagoonlever/decisions/fleet/hub_watch.py
@@ -33,7 +33,7 @@
     _since: float | None = None
     """When this VM first spoke to a hub."""
 
-    def spoke_to(self, hub: str, now: float) -> None:
+    def record_sent(self, hub: str, now: float) -> None:
         """Note a word of this VM to a hub, which is to answer it."""
         self._unanswered.setdefault(hub, now)
         if self._since is None:
--- a/lagoonlever/gateway/presence.py
+++ b/lagoonlever/gateway/presence.py
@@ -202,7 +202,7 @@
             hubs = tuple(dict.fromkeys((*hubs, *assign_roles(own, self._present(now)).hubs)))
         for hub in hubs:
             if hub != own.life.name:
-                self._hub_watch.spoke_to(hub, now)
+                self._hub_watch.record_sent(hub, now)
         self._send_to(hubs, own)
 
     def _send_to(self, names: tuple[str, ...], message: object) -> None:
