--- a/lagoonlever/decisions/fleet/hub_watch.py
+++ b/lagoonlever/decisions/fleet/hub_watch.py
@@ -51,7 +51,7 @@
             self._failed_until[hub] = now + FAILED_S
         return late
 
-    def heard(self, hub: str, now: float, *, data_center: str) -> None:
+    def record_answer(self, hub: str, now: float, *, data_center: str) -> None:
         """Note a word of a hub on the VMs of a data centre."""
         self._unanswered.pop(hub, None)
         self._told_at[data_center] = now
--- a/lagoonlever/gateway/presence.py
+++ b/lagoonlever/gateway/presence.py
@@ -296,7 +296,7 @@
         now = self._timers.now
         fellows = self._beliefs.fellows
         own = self._own_state()
-        self._hub_watch.heard(sender, now, data_center=digest.data_center)
+        self._hub_watch.record_answer(sender, now, data_center=digest.data_center)
         for state in digest.news:
             former = fellows.find(state.life.name)
             if fellows.record_state(state, now) and former and former.life != state.life:
