--- a/lagoonlever/decisions/fleet/hub_watch.py
+++ b/lagoonlever/decisions/fleet/hub_watch.py
@@ -39,7 +39,7 @@
         if self._since is None:
             self._since = now
 
-    def doubtful(self, now: float) -> frozenset[str]:
+    def late_hubs(self, now: float) -> frozenset[str]:
         """Give the hubs whose answer is late, though they may still be there."""
         return frozenset(hub for hub, at in self._unanswered.items() if now - at > DOUBTFUL_S)
 
--- a/lagoonlever/gateway/presence.py
+++ b/lagoonlever/gateway/presence.py
@@ -191,7 +191,7 @@
             return
         self._turns += 1
         hubs = roles.hubs[self._turns % len(roles.hubs) :][:1] if roles.hubs else ()
-        doubtful = self._hub_watch.doubtful(now)
+        doubtful = self._hub_watch.late_hubs(now)
         if doubtful:
             # Both hubs may have died together: whoever would follow them is spoken to before
             # they are given up, else the VMs here hear of nobody for too long.
--- a/lagoonlever/tests/hub_watch_tests.py
+++ b/lagoonlever/tests/hub_watch_tests.py
@@ -28,11 +28,11 @@
 def test_a_hub_whose_answer_is_late_is_doubtful_before_it_is_given_up() -> None:
     watch = HubWatch()
     watch.record_sent("h1", 0.0)
-    assert watch.doubtful(DOUBTFUL_S) == frozenset()
-    assert watch.doubtful(DOUBTFUL_S + 0.1) == {"h1"}
+    assert watch.late_hubs(DOUBTFUL_S) == frozenset()
+    assert watch.late_hubs(DOUBTFUL_S + 0.1) == {"h1"}
     assert watch.failed(DOUBTFUL_S + 0.1) == frozenset()
     watch.record_answer("h1", DOUBTFUL_S + 0.1, data_center="a")
-    assert watch.doubtful(DOUBTFUL_S + 0.2) == frozenset()
+    assert watch.late_hubs(DOUBTFUL_S + 0.2) == frozenset()
 
 
 def test_a_word_of_a_hub_clears_it() -> None:
