--- a/lagoonlever/decisions/fleet/hub_watch.py
+++ b/lagoonlever/decisions/fleet/hub_watch.py
@@ -43,7 +43,7 @@
         """Give the hubs whose answer is late, though they may still be there."""
         return frozenset(hub for hub, at in self._unanswered.items() if now - at > DOUBTFUL_S)
 
-    def overdue(self, now: float) -> tuple[str, ...]:
+    def take_overdue(self, now: float) -> tuple[str, ...]:
         """Give the hubs that did not answer in time; they are passed over from now on."""
         late = tuple(hub for hub, at in self._unanswered.items() if now - at > ANSWER_S)
         for hub in late:
--- a/lagoonlever/gateway/presence.py
+++ b/lagoonlever/gateway/presence.py
@@ -163,7 +163,7 @@
             self._hub_watch.reset()
             fellows.silent_s, fellows.blind_since = SILENCE_TIMEOUT_S, {}
             return
-        for hub in self._hub_watch.overdue(now):
+        for hub in self._hub_watch.take_overdue(now):
             events.HUB_PASSED_OVER.log(log, vm=hub)
         fellows.silent_s, fellows.blind_since = (
             HUB_SILENCE_TIMEOUT_S,
--- a/lagoonlever/tests/hub_watch_tests.py
+++ b/lagoonlever/tests/hub_watch_tests.py
@@ -19,8 +19,8 @@
     watch.record_answer("h1", 0.5, data_center="a")
     watch.record_sent("h1", 0.6)
     watch.record_sent("h2", 0.6)
-    assert watch.overdue(ANSWER_S) == ()
-    assert watch.overdue(ANSWER_S + 0.1) == ("h2",)
+    assert watch.take_overdue(ANSWER_S) == ()
+    assert watch.take_overdue(ANSWER_S + 0.1) == ("h2",)
     assert watch.failed(ANSWER_S + 0.1) == {"h2"}
     assert watch.failed(ANSWER_S + 0.2 + FAILED_S) == frozenset()
 
@@ -38,7 +38,7 @@
 def test_a_word_of_a_hub_clears_it() -> None:
     watch = HubWatch()
     watch.record_sent("h1", 0.0)
-    assert watch.overdue(ANSWER_S + 0.1) == ("h1",)
+    assert watch.take_overdue(ANSWER_S + 0.1) == ("h1",)
     watch.record_answer("h1", ANSWER_S + 0.2, data_center="a")
     assert watch.failed(ANSWER_S + 0.2) == frozenset()
 
