--- a/lagoonlever/decisions/fleet/hub_watch.py
+++ b/lagoonlever/decisions/fleet/hub_watch.py
@@ -64,7 +64,7 @@
         self._told_at.clear()
         self._since = None
 
-    def failed(self, now: float) -> frozenset[str]:
+    def failed_hubs(self, now: float) -> frozenset[str]:
         """Give the hubs that are passed over now."""
         self._failed_until = {h: at for h, at in self._failed_until.items() if at > now}
         return frozenset(self._failed_until)
--- a/lagoonlever/gateway/presence.py
+++ b/lagoonlever/gateway/presence.py
@@ -150,7 +150,7 @@
         return assign_roles(
             own,
             present,
-            failed=watch.failed(now) | without,
+            failed=watch.failed_hubs(now) | without,
             isolated=watch.is_isolated(now),
         )
 
--- a/lagoonlever/tests/hub_watch_tests.py
+++ b/lagoonlever/tests/hub_watch_tests.py
@@ -21,8 +21,8 @@
     watch.record_sent("h2", 0.6)
     assert watch.take_overdue(ANSWER_S) == ()
     assert watch.take_overdue(ANSWER_S + 0.1) == ("h2",)
-    assert watch.failed(ANSWER_S + 0.1) == {"h2"}
-    assert watch.failed(ANSWER_S + 0.2 + FAILED_S) == frozenset()
+    assert watch.failed_hubs(ANSWER_S + 0.1) == {"h2"}
+    assert watch.failed_hubs(ANSWER_S + 0.2 + FAILED_S) == frozenset()
 
 
 def test_a_hub_whose_answer_is_late_is_doubtful_before_it_is_given_up() -> None:
@@ -30,7 +30,7 @@
     watch.record_sent("h1", 0.0)
     assert watch.late_hubs(DOUBTFUL_S) == frozenset()
     assert watch.late_hubs(DOUBTFUL_S + 0.1) == {"h1"}
-    assert watch.failed(DOUBTFUL_S + 0.1) == frozenset()
+    assert watch.failed_hubs(DOUBTFUL_S + 0.1) == frozenset()
     watch.record_answer("h1", DOUBTFUL_S + 0.1, data_center="a")
     assert watch.late_hubs(DOUBTFUL_S + 0.2) == frozenset()
 
@@ -40,7 +40,7 @@
     watch.record_sent("h1", 0.0)
     assert watch.take_overdue(ANSWER_S + 0.1) == ("h1",)
     watch.record_answer("h1", ANSWER_S + 0.2, data_center="a")
-    assert watch.failed(ANSWER_S + 0.2) == frozenset()
+    assert watch.failed_hubs(ANSWER_S + 0.2) == frozenset()
 
 
 def test_a_data_center_that_nothing_is_told_of_is_told_apart() -> None:
