--- a/lagoonlever/decisions/fleet/line_keepers.py
+++ b/lagoonlever/decisions/fleet/line_keepers.py
@@ -10,7 +10,7 @@
 
 from collections.abc import Iterable
 
-from lagoonlever.decisions.fleet.news_paths import tells_directly
+from lagoonlever.decisions.fleet.news_paths import sends_directly
 from lagoonlever.decisions.fleet.peer_table import PeerState
 from lagoonlever.decisions.fleet.rendezvous import rank_by_hash
 from lagoonlever.decisions.fleet.roles import Roles
@@ -25,8 +25,8 @@
     """Give the VM that keeps a service's line, and who follows it; ``own`` may be among them."""
     fellows = list(present)
     staying = {state.life.name for state in fellows if not state.leaving}
-    if not tells_directly(len(fellows)):
+    if not sends_directly(len(fellows)):
         staying &= {*roles.hubs, *roles.other_hubs}
-    if not leaving and (roles.is_hub or tells_directly(len(fellows))):
+    if not leaving and (roles.is_hub or sends_directly(len(fellows))):
         staying.add(own)
     return tuple(rank_by_hash(staying, purpose=f"line {service}"))
--- a/lagoonlever/decisions/fleet/news_paths.py
+++ b/lagoonlever/decisions/fleet/news_paths.py
@@ -23,7 +23,7 @@
 """
 
 
-def tells_directly(present: int) -> bool:
+def sends_directly(present: int) -> bool:
     """Tell whether a fleet of so many other VMs is told without hubs."""
     return present <= DIRECT_MOST
 
@@ -37,7 +37,7 @@
     may only be behind a slow link, and would go on with what was taken away. ``far_hubs``
     are all hubs of the other data centres, so that one of them may be dead.
     """
-    if tells_directly(len(known)):
+    if sends_directly(len(known)):
         return tuple(known)
     hubs = frozenset(far_hubs)
     return tuple(s for s in known if s.data_center == data_center or s.life.name in hubs)
@@ -51,7 +51,7 @@
     Only a hub does, and only with news from elsewhere: a reader nearby has told all VMs
     of the data centre itself.
     """
-    if not is_hub or tells_directly(len(known)):
+    if not is_hub or sends_directly(len(known)):
         return ()
     told_by = next((state for state in known if state.life.name == source), None)
     if told_by is None or told_by.data_center == data_center:
@@ -65,7 +65,7 @@
     Up to ``DIRECT_MOST`` VMs every one hears of all runs. Beyond, the hubs do: each run told
     to everyone took more of a VM's time than its own callers.
     """
-    if roles is None or tells_directly(present) or roles.is_hub:
+    if roles is None or sends_directly(present) or roles.is_hub:
         return ()
     return tuple(hub for hub in roles.hubs if hub != own)
 
--- a/lagoonlever/gateway/hub_spread.py
+++ b/lagoonlever/gateway/hub_spread.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from lagoonlever.decisions.fleet.news_paths import hubs_told, tells_directly
+from lagoonlever.decisions.fleet.news_paths import hubs_told, sends_directly
 from lagoonlever.decisions.fleet.peer_table import PeerState
 from lagoonlever.decisions.fleet.roles import Roles
 from lagoonlever.gateway.beliefs import Beliefs
@@ -53,7 +53,7 @@
 
     @property
     def _is_small(self) -> bool:
-        return tells_directly(len(self._fellows))
+        return sends_directly(len(self._fellows))
 
     def _send(self, names: Iterable[str], message: object) -> None:
         for name in names:
--- a/lagoonlever/gateway/peers.py
+++ b/lagoonlever/gateway/peers.py
@@ -7,7 +7,7 @@
 import attrs
 import trio
 
-from lagoonlever.decisions.fleet.news_paths import book_holders, tells_directly
+from lagoonlever.decisions.fleet.news_paths import book_holders, sends_directly
 from lagoonlever.decisions.fleet.roles import Roles
 from lagoonlever.decisions.streams.booked_runs import BookedRun, RunCopy
 from lagoonlever.gateway.beliefs import Beliefs
@@ -82,7 +82,7 @@
         In a very large fleet it would let go of them at once: some 64 KB for each VM that
         starts, from hubs that all of them ask together after a loss of power.
         """
-        if tells_directly(len(self._beliefs.fellows.present(self._timers.now))):
+        if sends_directly(len(self._beliefs.fellows.present(self._timers.now))):
             self._tell_book(newcomer)
 
     def vm_lost(self, name: str) -> None:
--- a/lagoonlever/gateway/run_relay.py
+++ b/lagoonlever/gateway/run_relay.py
@@ -22,7 +22,7 @@
 import trio
 
 from lagoonlever.codec import UnknownMessage
-from lagoonlever.decisions.fleet.news_paths import concerned_by_losses, tells_directly
+from lagoonlever.decisions.fleet.news_paths import concerned_by_losses, sends_directly
 from lagoonlever.decisions.fleet.peer_table import PeerState
 from lagoonlever.decisions.fleet.roles import Roles
 from lagoonlever.decisions.streams.booked_runs import BookedRun
@@ -86,7 +86,7 @@
     def tell(self, change: RunChange) -> None:
         """Tell those that are to know of a change of this VM."""
         present = self._beliefs.fellows.present(self._timers.now)
-        hub = None if tells_directly(len(present)) else self._hub()
+        hub = None if sends_directly(len(present)) else self._hub()
         if hub is None:
             self._beliefs.book.news_s = DIRECT_NEWS_S
             self._bus.send_to_all((fellow.bus for fellow in present), change)
