--- a/lagoonlever/decisions/fleet/news_paths.py
+++ b/lagoonlever/decisions/fleet/news_paths.py
@@ -28,7 +28,7 @@
     return present <= DIRECT_MOST
 
 
-def pushed_to(
+def push_recipients(
     known: Collection[PeerState], *, data_center: str, far_hubs: Iterable[str]
 ) -> tuple[PeerState, ...]:
     """Give the VMs that a reader in ``data_center`` tells of a change.
--- a/lagoonlever/gateway/knowledge.py
+++ b/lagoonlever/gateway/knowledge.py
@@ -13,7 +13,7 @@
 import msgspec
 import trio
 
-from lagoonlever.decisions.fleet.news_paths import passed_on_to, pushed_to
+from lagoonlever.decisions.fleet.news_paths import passed_on_to, push_recipients
 from lagoonlever.decisions.fleet.peer_table import PeerState
 from lagoonlever.decisions.fleet.roles import Roles
 from lagoonlever.decisions.targets.listed_target import ListedTarget, TargetChange
@@ -105,7 +105,7 @@
     def push(self, news: object) -> None:
         """Tell the others what this VM has read, itself or through hubs elsewhere."""
         roles = self._roles.value
-        receivers = pushed_to(
+        receivers = push_recipients(
             self._beliefs.fellows.states,
             data_center=self._data_center,
             far_hubs=roles.other_hubs if roles is not None else (),
