--- a/lagoonlever/decisions/fleet/news_paths.py
+++ b/lagoonlever/decisions/fleet/news_paths.py
@@ -43,7 +43,7 @@
     return tuple(s for s in known if s.data_center == data_center or s.life.name in hubs)
 
 
-def passed_on_to(
+def forward_recipients(
     known: Collection[PeerState], *, data_center: str, source: str, is_hub: bool
 ) -> tuple[PeerState, ...]:
     """Give the VMs that a VM in ``data_center`` passes news on to that was new to it.
--- a/lagoonlever/gateway/knowledge.py
+++ b/lagoonlever/gateway/knowledge.py
@@ -13,7 +13,7 @@
 import msgspec
 import trio
 
-from lagoonlever.decisions.fleet.news_paths import passed_on_to, push_recipients
+from lagoonlever.decisions.fleet.news_paths import forward_recipients, push_recipients
 from lagoonlever.decisions.fleet.peer_table import PeerState
 from lagoonlever.decisions.fleet.roles import Roles
 from lagoonlever.decisions.targets.listed_target import ListedTarget, TargetChange
@@ -115,7 +115,7 @@
     def pass_on(self, news: object, source: str) -> None:
         """Tell the VMs nearby what another VM told and was new here, where that is a hub's part."""
         roles = self._roles.value
-        receivers = passed_on_to(
+        receivers = forward_recipients(
             self._beliefs.fellows.states,
             data_center=self._data_center,
             source=source,
