--- a/lagoonlever/decisions/fleet/news_paths.py
+++ b/lagoonlever/decisions/fleet/news_paths.py
@@ -92,7 +92,7 @@
     )
 
 
-def hubs_told(roles: Roles, *, own: str, source: str) -> tuple[str, ...]:
+def hub_recipients(roles: Roles, *, own: str, source: str) -> tuple[str, ...]:
     """Give the hubs that this VM tells what ``source``, itself perhaps, has told it.
 
     For news that each VM may have and few need: a VM tells its own hubs, and these the others.
--- a/lagoonlever/gateway/hub_spread.py
+++ b/lagoonlever/gateway/hub_spread.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from lagoonlever.decisions.fleet.news_paths import hubs_told, sends_directly
+from lagoonlever.decisions.fleet.news_paths import hub_recipients, sends_directly
 from lagoonlever.decisions.fleet.peer_table import PeerState
 from lagoonlever.decisions.fleet.roles import Roles
 from lagoonlever.gateway.beliefs import Beliefs
@@ -39,7 +39,7 @@
         roles = self._roles.value
         if self._is_small or roles is None:
             return
-        self._send(hubs_told(roles, own=self._own, source=source), message)
+        self._send(hub_recipients(roles, own=self._own, source=source), message)
         if not roles.is_hub or for_plain is None:
             return
         hubs = frozenset(roles.hubs)
