--- a/lagoonlever/decisions/fleet/news_paths.py
+++ b/lagoonlever/decisions/fleet/news_paths.py
@@ -59,7 +59,7 @@
     return tuple(s for s in known if s.data_center == data_center and s.life.name != source)
 
 
-def book_holders(roles: Roles | None, *, own: str, present: int) -> tuple[str, ...]:
+def placement_hubs(roles: Roles | None, *, own: str, present: int) -> tuple[str, ...]:
     """Give the VMs to ask for a place, nearest first; none where this VM holds the book itself.
 
     Up to ``DIRECT_MOST`` VMs every one hears of all runs. Beyond, the hubs do: each run told
--- a/lagoonlever/gateway/peers.py
+++ b/lagoonlever/gateway/peers.py
@@ -7,7 +7,7 @@
 import attrs
 import trio
 
-from lagoonlever.decisions.fleet.news_paths import book_holders, sends_directly
+from lagoonlever.decisions.fleet.news_paths import placement_hubs, sends_directly
 from lagoonlever.decisions.fleet.roles import Roles
 from lagoonlever.decisions.streams.booked_runs import BookedRun, RunCopy
 from lagoonlever.gateway.beliefs import Beliefs
@@ -138,7 +138,7 @@
     def holds_book(self) -> bool:
         """Tell whether this VM hears of the runs of all others."""
         present = len(self._beliefs.fellows.present(self._timers.now))
-        return not book_holders(self._roles.value, own=self._vm, present=present)
+        return not placement_hubs(self._roles.value, own=self._vm, present=present)
 
     def _keep_book(self, _: Tick) -> None:
         """Let go of what was heard before others were left to hear it."""
--- a/lagoonlever/gateway/placer.py
+++ b/lagoonlever/gateway/placer.py
@@ -16,7 +16,7 @@
 
 from lagoonlever.decisions.engines.engine_paces import KeptPace
 from lagoonlever.decisions.engines.uneven_engines import UnevenChoice
-from lagoonlever.decisions.fleet.news_paths import book_holders
+from lagoonlever.decisions.fleet.news_paths import placement_hubs
 from lagoonlever.decisions.fleet.roles import Roles
 from lagoonlever.decisions.settings.configuration import RouteKind
 from lagoonlever.decisions.settings.load_parts import has_ranks
@@ -135,7 +135,7 @@
         The window counts the runs of all VMs where this one hears of them all. A VM that
         does not, and finds no hub, keeps to its share.
         """
-        alone = bool(book_holders(self._roles.value, own=self._vm, present=self._present))
+        alone = bool(placement_hubs(self._roles.value, own=self._vm, present=self._present))
         return PlacementView(
             book=self._beliefs.book,
             window=self._budgets.of_runs(service),
@@ -153,7 +153,7 @@
         self, question: Callable[[int], object], answer: type[T], *, timeout_s: float
     ) -> T | None:
         """Ask one holder of the book after the other; gives the first answer, or None."""
-        for hub in book_holders(self._roles.value, own=self._vm, present=self._present):
+        for hub in placement_hubs(self._roles.value, own=self._vm, present=self._present):
             address = self._address_of(hub)
             if address is None:
                 continue
