--- a/lagoonlever/decisions/fleet/news_paths.py
+++ b/lagoonlever/decisions/fleet/news_paths.py
@@ -70,7 +70,7 @@
     return tuple(hub for hub in roles.hubs if hub != own)
 
 
-def concerned_by_losses(
+def vms_affected_by_losses(
     lost: Collection[str],
     runs: Iterable[BookedRun],
     *,
--- a/lagoonlever/gateway/run_relay.py
+++ b/lagoonlever/gateway/run_relay.py
@@ -22,7 +22,7 @@
 import trio
 
 from lagoonlever.codec import UnknownMessage
-from lagoonlever.decisions.fleet.news_paths import concerned_by_losses, sends_directly
+from lagoonlever.decisions.fleet.news_paths import vms_affected_by_losses, sends_directly
 from lagoonlever.decisions.fleet.peer_table import PeerState
 from lagoonlever.decisions.fleet.roles import Roles
 from lagoonlever.decisions.streams.booked_runs import BookedRun
@@ -174,7 +174,7 @@
         engines = {change.engine for change in lost if isinstance(change, EngineLost)}
         if not engines:
             return []
-        names = concerned_by_losses(
+        names = vms_affected_by_losses(
             engines, self._beliefs.book.open_runs, data_center_of=self._data_center_of
         )
         found = [present[name] for name in names if name in present]
