--- a/lagoonlever/decisions/fleet/line_keepers.py
+++ b/lagoonlever/decisions/fleet/line_keepers.py
@@ -10,7 +10,7 @@
 
 from collections.abc import Iterable
 
-from lagoonlever.decisions.fleet.news_paths import sends_directly
+from lagoonlever.decisions.fleet.update_routing import sends_directly
 from lagoonlever.decisions.fleet.peer_table import PeerState
 from lagoonlever.decisions.fleet.rendezvous import rank_by_hash
 from lagoonlever.decisions.fleet.roles import Roles
--- a/lagoonlever/gateway/hub_spread.py
+++ b/lagoonlever/gateway/hub_spread.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from lagoonlever.decisions.fleet.news_paths import hub_recipients, sends_directly
+from lagoonlever.decisions.fleet.update_routing import hub_recipients, sends_directly
 from lagoonlever.decisions.fleet.peer_table import PeerState
 from lagoonlever.decisions.fleet.roles import Roles
 from lagoonlever.gateway.beliefs import Beliefs
--- a/lagoonlever/gateway/placer.py
+++ b/lagoonlever/gateway/placer.py
@@ -16,7 +16,7 @@
 
 from lagoonlever.decisions.engines.engine_paces import KeptPace
 from lagoonlever.decisions.engines.uneven_engines import UnevenChoice
-from lagoonlever.decisions.fleet.news_paths import placement_hubs
+from lagoonlever.decisions.fleet.update_routing import placement_hubs
 from lagoonlever.decisions.fleet.roles import Roles
 from lagoonlever.decisions.settings.configuration import RouteKind
 from lagoonlever.decisions.settings.load_parts import has_ranks
--- a/lagoonlever/gateway/run_relay.py
+++ b/lagoonlever/gateway/run_relay.py
@@ -22,7 +22,7 @@
 import trio
 
 from lagoonlever.codec import UnknownMessage
-from lagoonlever.decisions.fleet.news_paths import vms_affected_by_losses, sends_directly
+from lagoonlever.decisions.fleet.update_routing import vms_affected_by_losses, sends_directly
 from lagoonlever.decisions.fleet.peer_table import PeerState
 from lagoonlever.decisions.fleet.roles import Roles
 from lagoonlever.decisions.streams.booked_runs import BookedRun
--- a/lagoonlever/tests/gateway_knowledge_tests.py
+++ b/lagoonlever/tests/gateway_knowledge_tests.py
@@ -8,7 +8,7 @@
 import trio
 
 from lagoonlever.bench.local_fleet import Fleet, run_fleet, start_many
-from lagoonlever.decisions.fleet.news_paths import DIRECT_MOST
+from lagoonlever.decisions.fleet.update_routing import DIRECT_MOST
 from lagoonlever.decisions.targets.listed_target import ListedTarget, TargetChange
 from lagoonlever.http.messages import Address
 from lagoonlever.peers.messages import PEER
--- a/lagoonlever/tests/gateway_presence_tests.py
+++ b/lagoonlever/tests/gateway_presence_tests.py
@@ -16,7 +16,7 @@
     run_fleet,
     start_many,
 )
-from lagoonlever.decisions.fleet.news_paths import DIRECT_MOST
+from lagoonlever.decisions.fleet.update_routing import DIRECT_MOST
 from lagoonlever.decisions.streams.booked_runs import BookedRun, RunCopy
 from lagoonlever.decisions.targets.listed_target import ListedTarget
 from lagoonlever.gateway.run_relay import RunRelay
