--- a/lagoonlever/decisions/fleet/update_routing.py
+++ b/lagoonlever/decisions/fleet/update_routing.py
@@ -15,7 +15,7 @@
 from lagoonlever.decisions.fleet.roles import Roles
 from lagoonlever.decisions.streams.booked_runs import BookedRun
 
-DIRECT_MOST = 120
+MAX_DIRECT_VMS = 120
 """Up to this many VMs each tells all others itself.
 
 Hubs add a hop, and news that comes late costs worse placements: measured on 69 VMs,
@@ -25,7 +25,7 @@
 
 def sends_directly(present: int) -> bool:
     """Tell whether a fleet of so many other VMs is told without hubs."""
-    return present <= DIRECT_MOST
+    return present <= MAX_DIRECT_VMS
 
 
 def push_recipients(
@@ -62,7 +62,7 @@
 def placement_hubs(roles: Roles | None, *, own: str, present: int) -> tuple[str, ...]:
     """Give the VMs to ask for a place, nearest first; none where this VM holds the book itself.
 
-    Up to ``DIRECT_MOST`` VMs every one hears of all runs. Beyond, the hubs do: each run told
+    Up to ``MAX_DIRECT_VMS`` VMs every one hears of all runs. Beyond, the hubs do: each run told
     to everyone took more of a VM's time than its own callers.
     """
     if roles is None or sends_directly(present) or roles.is_hub:
--- a/lagoonlever/tests/gateway_knowledge_tests.py
+++ b/lagoonlever/tests/gateway_knowledge_tests.py
@@ -8,7 +8,7 @@
 import trio
 
 from lagoonlever.bench.local_fleet import Fleet, run_fleet, start_many
-from lagoonlever.decisions.fleet.update_routing import DIRECT_MOST
+from lagoonlever.decisions.fleet.update_routing import MAX_DIRECT_VMS
 from lagoonlever.decisions.targets.listed_target import ListedTarget, TargetChange
 from lagoonlever.http.messages import Address
 from lagoonlever.peers.messages import PEER
@@ -17,7 +17,7 @@
 from lagoonlever.tests.base import at
 from lagoonlever.tests.gateway_site import configuration
 
-VERY_LARGE = DIRECT_MOST + 12
+VERY_LARGE = MAX_DIRECT_VMS + 12
 FIRST_REVISION = 10
 TAGS = tuple(
     PEER.tag_of(message)
--- a/lagoonlever/tests/gateway_presence_tests.py
+++ b/lagoonlever/tests/gateway_presence_tests.py
@@ -16,7 +16,7 @@
     run_fleet,
     start_many,
 )
-from lagoonlever.decisions.fleet.update_routing import DIRECT_MOST
+from lagoonlever.decisions.fleet.update_routing import MAX_DIRECT_VMS
 from lagoonlever.decisions.streams.booked_runs import BookedRun, RunCopy
 from lagoonlever.decisions.targets.listed_target import ListedTarget
 from lagoonlever.gateway.run_relay import RunRelay
@@ -273,7 +273,7 @@
     """
 
     async def story(fleet: Fleet) -> None:
-        start_many(fleet, DIRECT_MOST + 10)
+        start_many(fleet, MAX_DIRECT_VMS + 10)
         await trio.sleep(6.0)
         relays = tellers(fleet)
         await trio.sleep(0.1)
@@ -312,7 +312,7 @@
     """
 
     async def story(fleet: Fleet) -> None:
-        start_many(fleet, DIRECT_MOST + 10)
+        start_many(fleet, MAX_DIRECT_VMS + 10)
         await trio.sleep(6.0)
         listed_engines(fleet)
         relays = tellers(fleet)
@@ -335,7 +335,7 @@
     """Sixty VMs have streams on an engine that crashes, and each tells its hub."""
 
     async def story(fleet: Fleet) -> None:
-        start_many(fleet, DIRECT_MOST + 10)
+        start_many(fleet, MAX_DIRECT_VMS + 10)
         await trio.sleep(6.0)
         listed_engines(fleet)
         relays = tellers(fleet)
@@ -437,7 +437,7 @@
     """
 
     async def story(fleet: Fleet) -> None:
-        start_many(fleet, DIRECT_MOST + 10)
+        start_many(fleet, MAX_DIRECT_VMS + 10)
         await trio.sleep(6.0)
         relays = tellers(fleet)
         await trio.sleep(0.1)
