--- a/lagoonlever/decisions/fleet/line_keepers.py
+++ b/lagoonlever/decisions/fleet/line_keepers.py
@@ -15,7 +15,7 @@
 from lagoonlever.decisions.fleet.rendezvous import rank_by_hash
 from lagoonlever.decisions.fleet.roles import Roles
 
-NEXT_ASKED = 2
+MAX_COORDINATORS_ASKED = 2
 """VMs that are asked for a line before one goes without: the keeper, and who takes it over."""
 
 
--- a/lagoonlever/gateway/room_asker.py
+++ b/lagoonlever/gateway/room_asker.py
@@ -17,7 +17,7 @@
 
 from lagoonlever.decisions.admission.room import RefusedWithReturn
 from lagoonlever.decisions.admission.room_line import PlaceInLine
-from lagoonlever.decisions.fleet.line_keepers import NEXT_ASKED, line_keepers
+from lagoonlever.decisions.fleet.line_keepers import MAX_COORDINATORS_ASKED, line_keepers
 from lagoonlever.decisions.fleet.roles import Roles
 from lagoonlever.decisions.settings.configuration import Configuration, RouteKind
 from lagoonlever.decisions.settings.load_parts import has_ranks
@@ -91,7 +91,7 @@
     async def place(self, ask: RunAsk, need: LineNeed) -> LineOutcome | None:
         """Wait for a place, or a refusal; None where nobody keeps the line."""
         began = self._timers.now
-        for _ in range(NEXT_ASKED):
+        for _ in range(MAX_COORDINATORS_ASKED):
             while (keeper := self._keeper(ask.service)) is not None:
                 waited_s = self._timers.now - began
                 question = _Question(ask=ask, need=_later(need, waited_s), keeper=keeper)
@@ -161,7 +161,9 @@
         present = self._beliefs.fellows.present(self._timers.now)
         leaving = self._leaving()
         keepers = line_keepers(service, roles=roles, own=self._vm, leaving=leaving, present=present)
-        return next((vm for vm in keepers[: NEXT_ASKED + 1] if not self._is_silent(vm)), None)
+        return next(
+            (vm for vm in keepers[: MAX_COORDINATORS_ASKED + 1] if not self._is_silent(vm)), None
+        )
 
     def _is_silent(self, vm: str) -> bool:
         return self._silent_until.get(vm, 0.0) > self._timers.now
