--- a/lagoonlever/decisions/fleet/line_keepers.py
+++ b/lagoonlever/decisions/fleet/line_keepers.py
@@ -19,7 +19,7 @@
 """VMs that are asked for a line before one goes without: the keeper, and who takes it over."""
 
 
-def line_keepers(
+def queue_coordinators(
     service: str, *, roles: Roles, own: str, leaving: bool, present: Iterable[PeerState]
 ) -> tuple[str, ...]:
     """Give the VM that keeps a service's line, and who follows it; ``own`` may be among them."""
--- a/lagoonlever/gateway/room_asker.py
+++ b/lagoonlever/gateway/room_asker.py
@@ -17,7 +17,7 @@
 
 from lagoonlever.decisions.admission.room import RefusedWithReturn
 from lagoonlever.decisions.admission.room_line import PlaceInLine
-from lagoonlever.decisions.fleet.line_keepers import MAX_COORDINATORS_ASKED, line_keepers
+from lagoonlever.decisions.fleet.line_keepers import MAX_COORDINATORS_ASKED, queue_coordinators
 from lagoonlever.decisions.fleet.roles import Roles
 from lagoonlever.decisions.settings.configuration import Configuration, RouteKind
 from lagoonlever.decisions.settings.load_parts import has_ranks
@@ -160,7 +160,9 @@
             return None
         present = self._beliefs.fellows.present(self._timers.now)
         leaving = self._leaving()
-        keepers = line_keepers(service, roles=roles, own=self._vm, leaving=leaving, present=present)
+        keepers = queue_coordinators(
+            service, roles=roles, own=self._vm, leaving=leaving, present=present
+        )
         return next(
             (vm for vm in keepers[: MAX_COORDINATORS_ASKED + 1] if not self._is_silent(vm)), None
         )
--- a/lagoonlever/tests/room_asker_tests.py
+++ b/lagoonlever/tests/room_asker_tests.py
@@ -13,7 +13,7 @@
 from lagoonlever.bench.placing_fleet import MEMORY, PROMPT, SERVICE, PlacingVm, placing_fleet
 from lagoonlever.decisions.admission.room import RefusedWithReturn
 from lagoonlever.decisions.admission.room_line import RENEWED_WITHIN_S
-from lagoonlever.decisions.fleet.line_keepers import line_keepers
+from lagoonlever.decisions.fleet.line_keepers import queue_coordinators
 from lagoonlever.decisions.settings.configuration import (
     Configuration,
     RouteKind,
@@ -93,7 +93,7 @@
     roles = vm.vm.presence.roles.value
     assert roles is not None
     present = vm.vm.beliefs.fellows.present(trio.current_time())
-    return line_keepers(SERVICE, roles=roles, own=vm.name, leaving=False, present=present)[0]
+    return queue_coordinators(SERVICE, roles=roles, own=vm.name, leaving=False, present=present)[0]
 
 
 def run_room(story: Story, *, vms: int = SMALL) -> None:
