--- a/lagoonlever/gateway/room_asker.py
+++ b/lagoonlever/gateway/room_asker.py
@@ -17,7 +17,10 @@
 
 from lagoonlever.decisions.admission.room import RefusedWithReturn
 from lagoonlever.decisions.admission.room_line import PlaceInLine
-from lagoonlever.decisions.fleet.line_keepers import MAX_COORDINATORS_ASKED, queue_coordinators
+from lagoonlever.decisions.fleet.queue_coordinators import (
+    MAX_COORDINATORS_ASKED,
+    queue_coordinators,
+)
 from lagoonlever.decisions.fleet.roles import Roles
 from lagoonlever.decisions.settings.configuration import Configuration, RouteKind
 from lagoonlever.decisions.settings.load_parts import has_ranks
--- a/lagoonlever/tests/room_asker_tests.py
+++ b/lagoonlever/tests/room_asker_tests.py
@@ -13,7 +13,7 @@
 from lagoonlever.bench.placing_fleet import MEMORY, PROMPT, SERVICE, PlacingVm, placing_fleet
 from lagoonlever.decisions.admission.room import RefusedWithReturn
 from lagoonlever.decisions.admission.room_line import RENEWED_WITHIN_S
-from lagoonlever.decisions.fleet.line_keepers import queue_coordinators
+from lagoonlever.decisions.fleet.queue_coordinators import queue_coordinators
 from lagoonlever.decisions.settings.configuration import (
     Configuration,
     RouteKind,
