--- a/lagoonlever/decisions/fleet/roles.py
+++ b/lagoonlever/decisions/fleet/roles.py
@@ -27,7 +27,7 @@
 
 MESH_MOST = 12
 """Up to this many VMs every one speaks to every other."""
-HUBS = 2
+HUBS_PER_DATA_CENTER = 2
 """In each data centre: one may die, and the other's word is there meanwhile."""
 LEAST_READERS = 3
 """In the whole fleet: one may be cut from the store and one from its fellows."""
@@ -70,7 +70,7 @@
     for state in present:
         by_place.setdefault(state.data_center, []).append(state)
     hubs = {
-        place: _first([s for s in states if s.life.name not in failed], "hub", HUBS)
+        place: _first([s for s in states if s.life.name not in failed], "hub", HUBS_PER_DATA_CENTER)
         for place, states in by_place.items()
     }
     own_hubs = hubs[own.data_center]
--- a/lagoonlever/gateway/presence.py
+++ b/lagoonlever/gateway/presence.py
@@ -25,7 +25,7 @@
     PeerState,
     repeats_in_round,
 )
-from lagoonlever.decisions.fleet.roles import HUBS, Roles, assign_roles
+from lagoonlever.decisions.fleet.roles import HUBS_PER_DATA_CENTER, Roles, assign_roles
 from lagoonlever.gateway import events
 from lagoonlever.gateway.beliefs import Beliefs
 from lagoonlever.http.messages import Address
@@ -40,7 +40,7 @@
 """After a start, before this VM takes a role: until then it hardly knows the others."""
 ASK_EVERY_S = 1.0
 """Between two questions for VMs that a hub has heard: its news tells most of them anyway."""
-ROUNDS_TOLD = HUBS
+ROUNDS_TOLD = HUBS_PER_DATA_CENTER
 """Digests that tell a change: a VM speaks to the hubs in turn, and each answers it only then."""
 ASK_FELLOW_EVERY_S = 3.0
 """Between two questions to fellows once a VM has had time to hear of all that live."""
--- a/lagoonlever/tests/roles_tests.py
+++ b/lagoonlever/tests/roles_tests.py
@@ -3,7 +3,12 @@
 from __future__ import annotations
 
 from lagoonlever.decisions.fleet.peer_table import PeerState
-from lagoonlever.decisions.fleet.roles import HUBS, LEAST_READERS, MESH_MOST, assign_roles
+from lagoonlever.decisions.fleet.roles import (
+    HUBS_PER_DATA_CENTER,
+    LEAST_READERS,
+    MESH_MOST,
+    assign_roles,
+)
 from lagoonlever.http.messages import Address
 from lagoonlever.identity import Incarnation
 
@@ -34,7 +39,7 @@
     states = fleet(69)
     assert len(readers(states)) == LEAST_READERS
     hubs = {assign_roles(s, [o for o in states if o != s]).hubs for s in states}
-    assert len(hubs) == len(PLACES) and all(len(each) == HUBS for each in hubs)
+    assert len(hubs) == len(PLACES) and all(len(each) == HUBS_PER_DATA_CENTER for each in hubs)
 
 
 def test_wide_links_go_first() -> None:
