--- a/lagoonlever/decisions/fleet/roles.py
+++ b/lagoonlever/decisions/fleet/roles.py
@@ -25,7 +25,7 @@
 from lagoonlever.decisions.fleet.peer_table import PeerState
 from lagoonlever.decisions.fleet.rendezvous import rank_by_hash
 
-MESH_MOST = 12
+MAX_MESH_VMS = 12
 """Up to this many VMs every one speaks to every other."""
 HUBS_PER_DATA_CENTER = 2
 """In each data centre: one may die, and the other's word is there meanwhile."""
@@ -78,7 +78,7 @@
     return Roles(
         reads_store=isolated or own.life.name in readers,
         is_hub=own.life.name in own_hubs,
-        mesh=len(present) <= MESH_MOST,
+        mesh=len(present) <= MAX_MESH_VMS,
         hubs=own_hubs,
         other_hubs=tuple(
             name for place, names in hubs.items() if place != own.data_center for name in names
--- a/lagoonlever/tests/roles_tests.py
+++ b/lagoonlever/tests/roles_tests.py
@@ -6,7 +6,7 @@
 from lagoonlever.decisions.fleet.roles import (
     HUBS_PER_DATA_CENTER,
     LEAST_READERS,
-    MESH_MOST,
+    MAX_MESH_VMS,
     assign_roles,
 )
 from lagoonlever.http.messages import Address
@@ -67,9 +67,9 @@
 
 
 def test_a_small_fleet_is_a_mesh() -> None:
-    states = fleet(MESH_MOST + 1)
+    states = fleet(MAX_MESH_VMS + 1)
     assert not assign_roles(states[0], states[1:]).mesh
-    assert assign_roles(states[0], states[1:MESH_MOST]).mesh
+    assert assign_roles(states[0], states[1:MAX_MESH_VMS]).mesh
 
 
 def test_readers_that_are_turned_away_together_are_no_outage() -> None:
