--- a/lagoonlever/decisions/fleet/roles.py
+++ b/lagoonlever/decisions/fleet/roles.py
@@ -29,7 +29,7 @@
 """Up to this many VMs every one speaks to every other."""
 HUBS_PER_DATA_CENTER = 2
 """In each data centre: one may die, and the other's word is there meanwhile."""
-LEAST_READERS = 3
+MIN_READERS = 3
 """In the whole fleet: one may be cut from the store and one from its fellows."""
 OUTAGE_AWAY = 3
 """So many VMs of each data centre that can't reach the store mean that nobody can.
@@ -92,7 +92,7 @@
     For each one that does not reach it one more tries, so that a few steps find some that
     do, until it is clear that there are none.
     """
-    count = math.ceil(LEAST_READERS / len(by_place))
+    count = math.ceil(MIN_READERS / len(by_place))
     readers: set[str] = set()
     for states in by_place.values():
         reaching = [state for state in states if not state.store_away]
--- a/lagoonlever/tests/roles_tests.py
+++ b/lagoonlever/tests/roles_tests.py
@@ -5,7 +5,7 @@
 from lagoonlever.decisions.fleet.peer_table import PeerState
 from lagoonlever.decisions.fleet.roles import (
     HUBS_PER_DATA_CENTER,
-    LEAST_READERS,
+    MIN_READERS,
     MAX_MESH_VMS,
     assign_roles,
 )
@@ -37,7 +37,7 @@
 
 def test_views_that_agree_give_the_same_roles() -> None:
     states = fleet(69)
-    assert len(readers(states)) == LEAST_READERS
+    assert len(readers(states)) == MIN_READERS
     hubs = {assign_roles(s, [o for o in states if o != s]).hubs for s in states}
     assert len(hubs) == len(PLACES) and all(len(each) == HUBS_PER_DATA_CENTER for each in hubs)
 
@@ -84,4 +84,4 @@
         assert tried
         assert not {int(name.removeprefix("vm-")) for name in tried} & turned_away
         turned_away |= {int(name.removeprefix("vm-")) for name in tried}
-    assert len(turned_away) > 2 * LEAST_READERS
+    assert len(turned_away) > 2 * MIN_READERS
