--- a/lagoonlever/decisions/fleet/addresses.py
+++ b/lagoonlever/decisions/fleet/addresses.py
@@ -49,7 +49,7 @@
     lifetime_s: float
 
 
-def entry_addresses(
+def choose_entry_addresses(
     view: MemberView, *, settings: AddressesSettings, random: Random
 ) -> EntryAddresses:
     """Choose the addresses for one caller; a leaving or dead VM is never among them.
--- a/lagoonlever/entry/fleet/addresses.py
+++ b/lagoonlever/entry/fleet/addresses.py
@@ -9,7 +9,7 @@
 import attrs
 
 from lagoonlever.decisions.claims.keys import KeyHome
-from lagoonlever.decisions.fleet.addresses import AddressesSettings, entry_addresses
+from lagoonlever.decisions.fleet.addresses import AddressesSettings, choose_entry_addresses
 from lagoonlever.decisions.membership.membership import MemberState, MemberView
 from lagoonlever.http.server import Exchange
 from lagoonlever.published import Published
@@ -45,7 +45,7 @@
     def answer(self) -> EntryAnswer:
         """Give the answer for one caller."""
         view = self._members.value
-        told = entry_addresses(view, settings=self._settings, random=self._random)
+        told = choose_entry_addresses(view, settings=self._settings, random=self._random)
         return EntryAnswer(
             addresses=tuple(str(address) for address in told.addresses),
             lifetime_s=told.lifetime_s,
--- a/lagoonlever/tests/placement_tests.py
+++ b/lagoonlever/tests/placement_tests.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lagoonlever.decisions.fleet.addresses import AddressesSettings, entry_addresses
+from lagoonlever.decisions.fleet.addresses import AddressesSettings, choose_entry_addresses
 from lagoonlever.decisions.membership.membership import Member, MemberState, MemberView
 from lagoonlever.decisions.streams.placement import holders
 from lagoonlever.http.messages import Address
@@ -75,7 +75,9 @@
 )
 def test_an_answer_never_names_a_leaving_or_dead_vm(states: list[MemberState], seed: int) -> None:
     members = [member(i, f"dc-{i % 3}", state) for i, state in enumerate(states)]
-    answer = entry_addresses(view(members), settings=AddressesSettings(), random=Random(seed))
+    answer = choose_entry_addresses(
+        view(members), settings=AddressesSettings(), random=Random(seed)
+    )
     by_address = {m.http: m for m in members}
     told = [by_address[address] for address in answer.addresses]
 
@@ -91,7 +93,7 @@
     first: Counter[float] = Counter()
     random = Random(1)
     for _ in range(3000):
-        answer = entry_addresses(view(members), settings=AddressesSettings(), random=random)
+        answer = choose_entry_addresses(view(members), settings=AddressesSettings(), random=random)
         told = [m for a in answer.addresses for m in members if m.http == a]
         assert len({m.data_center for m in told}) == 3
         first[told[0].load] += 1
@@ -103,5 +105,5 @@
 
 def test_a_lone_leaving_vm_names_no_address() -> None:
     lone = [attrs.evolve(member(0), state=MemberState.LEAVING)]
-    answer = entry_addresses(view(lone), settings=AddressesSettings(), random=Random(0))
+    answer = choose_entry_addresses(view(lone), settings=AddressesSettings(), random=Random(0))
     assert answer.addresses == ()
--- a/lagoonlever/tests/planned_stop_tests.py
+++ b/lagoonlever/tests/planned_stop_tests.py
@@ -15,7 +15,7 @@
     run_state_machine_as_test,
 )
 
-from lagoonlever.decisions.fleet.addresses import AddressesSettings, entry_addresses
+from lagoonlever.decisions.fleet.addresses import AddressesSettings, choose_entry_addresses
 from lagoonlever.decisions.fleet.planned_stop import OpenWork, PlannedStop, StopPhase
 from lagoonlever.decisions.membership.membership import Member, MemberState, MemberView
 from lagoonlever.entry.stopping import QUIET_S
@@ -125,6 +125,8 @@
     )
     view = MemberView(members=(member,), own=incarnation)
     rng = random.Random(1)
-    told = [entry_addresses(view, settings=ADDRESSES, random=rng).lifetime_s for _ in range(500)]
+    told = [
+        choose_entry_addresses(view, settings=ADDRESSES, random=rng).lifetime_s for _ in range(500)
+    ]
     assert max(told) > ADDRESSES.lifetime_s
     assert max(told) + ADDRESSES.news_s <= ADDRESSES.served_after_leaving_s
