--- a/lagoonlever/decisions/fleet/planned_stop.py
+++ b/lagoonlever/decisions/fleet/planned_stop.py
@@ -32,7 +32,7 @@
     connections: int = 0
 
     @property
-    def anything(self) -> bool:
+    def pending(self) -> bool:
         """Whether ending now would cut something."""
         return bool(self.generations or self.keyed_requests or self.exchanges or self.connections)
 
