--- a/lagoonlever/decisions/membership/membership.py
+++ b/lagoonlever/decisions/membership/membership.py
@@ -79,7 +79,7 @@
         """Whether a newer life of this VM's name is known, so that this process must end."""
         return self.own_member is None
 
-    def named(self, name: str) -> Member | None:
+    def find_by_name(self, name: str) -> Member | None:
         """Give the newest known life of a VM."""
         return self._by_name.get(name)
 
