--- a/lagoonlever/decisions/membership/membership.py
+++ b/lagoonlever/decisions/membership/membership.py
@@ -90,7 +90,7 @@
             return None
         return member
 
-    def is_over(self, incarnation: Incarnation) -> bool:
+    def is_replaced(self, incarnation: Incarnation) -> bool:
         """Whether a newer life of the same name proves that this one has been replaced."""
         member = self._by_name.get(incarnation.name)
         return member is not None and member.incarnation > incarnation
