--- a/lagoonlever/bench/membership_runs.py
+++ b/lagoonlever/bench/membership_runs.py
@@ -105,7 +105,7 @@
     network = Network(random=Random(seed))
     table = MemberTable()
     sender = network.start(0)
-    news = sender.protocol.own_news(0.0)
+    news = sender.protocol.own_update(0.0)
     table.put(record_of(news, 0.0))
     size = 0
     begun = time.process_time()
--- a/lagoonlever/decisions/membership/protocol.py
+++ b/lagoonlever/decisions/membership/protocol.py
@@ -95,7 +95,7 @@
         self._roster.changed = False
         return self._roster.view(now)
 
-    def own_news(self, now: float) -> MemberNews:
+    def own_update(self, now: float) -> MemberNews:
         """Give what peers are told of this VM."""
         return self._roster.own_news(now)
 
