--- a/lagoonlever/decisions/membership/prober.py
+++ b/lagoonlever/decisions/membership/prober.py
@@ -11,7 +11,7 @@
 from lagoonlever.decisions.membership.probe import Probe, ProbeBook, Relay
 from lagoonlever.decisions.membership.roster import Roster
 from lagoonlever.decisions.membership.settings import MembershipSettings
-from lagoonlever.decisions.membership.table import Record
+from lagoonlever.decisions.membership.table import MemberRecord
 from lagoonlever.peers.messages_membership import (
     Ack,
     Gossip,
@@ -108,7 +108,7 @@
         if target is not None:
             self._probe(target, now)
 
-    def _next_target(self) -> Record | None:
+    def _next_target(self) -> MemberRecord | None:
         others = self._roster.others
         if not others:
             return None
@@ -117,7 +117,7 @@
         watched = self._roster.watched
         return watched[self._periods % len(watched)]
 
-    def _probe(self, target: Record, now: float) -> None:
+    def _probe(self, target: MemberRecord, now: float) -> None:
         sequence = self._book.next_sequence()
         factor = self._roster.health.factor
         self._book.probes[sequence] = Probe(
@@ -127,7 +127,7 @@
         )
         self._ping(target, sequence, now)
 
-    def _ping(self, target: Record, sequence: int, now: float) -> None:
+    def _ping(self, target: MemberRecord, sequence: int, now: float) -> None:
         ping = Ping(
             sequence=sequence,
             own=self._roster.own_news(now),
@@ -153,7 +153,7 @@
             for helper in helpers:
                 self._outbox.send(helper.peers, request, expected=helper.incarnation)
 
-    def _choose_helpers(self, target: Record) -> list[Record]:
+    def _choose_helpers(self, target: MemberRecord) -> list[MemberRecord]:
         """Choose members at random, of different data centres first: a link may be cut."""
         candidates = [
             record
--- a/lagoonlever/decisions/membership/roster.py
+++ b/lagoonlever/decisions/membership/roster.py
@@ -15,7 +15,7 @@
 from lagoonlever.decisions.membership.probe import LocalHealth
 from lagoonlever.decisions.membership.rings import Neighbours, neighbours
 from lagoonlever.decisions.membership.settings import MembershipSettings
-from lagoonlever.decisions.membership.table import MemberTable, Record, record_of
+from lagoonlever.decisions.membership.table import MemberTable, MemberRecord, record_of
 from lagoonlever.peers.messages_membership import Gossip, MemberNews, Status, Verdict
 
 
@@ -23,7 +23,7 @@
 class _Summary:
     """What follows from the table; made anew after a change, not for each message."""
 
-    others: tuple[Record, ...]
+    others: tuple[MemberRecord, ...]
     digest: int
     neighbours: Neighbours
 
@@ -38,7 +38,7 @@
     table: MemberTable = attrs.field(factory=MemberTable, init=False)
     queue: NewsQueue = attrs.field(factory=NewsQueue, init=False)
     health: LocalHealth = attrs.field(factory=LocalHealth, init=False)
-    own: Record = attrs.field(init=False)
+    own: MemberRecord = attrs.field(init=False)
     changed: bool = attrs.field(default=True, init=False)
     superseded: bool = attrs.field(default=False, init=False)
     _summary: _Summary | None = attrs.field(default=None, init=False)
@@ -46,7 +46,7 @@
     _fill_turn: int = attrs.field(default=0, init=False)
 
     def __attrs_post_init__(self) -> None:
-        self.own = Record(
+        self.own = MemberRecord(
             incarnation=self._own.incarnation,
             data_center=self._own.data_center,
             http=self._own.http,
@@ -56,7 +56,7 @@
         self.table.put(self.own)
 
     @property
-    def others(self) -> tuple[Record, ...]:
+    def others(self) -> tuple[MemberRecord, ...]:
         """The other members that are not dead."""
         return self._summed_up.others
 
@@ -71,12 +71,12 @@
         return self._summed_up.neighbours
 
     @property
-    def watched(self) -> list[Record]:
+    def watched(self) -> list[MemberRecord]:
         """The members that this one probes in turn."""
         return self._records(self.neighbours.watched)
 
     @property
-    def adjacent(self) -> list[Record]:
+    def adjacent(self) -> list[MemberRecord]:
         """The members that this one passes changes to."""
         return self._records(self.neighbours.adjacent)
 
@@ -103,7 +103,7 @@
         """Give the news of this VM."""
         return self.own.news(now)
 
-    def take_fill(self, now: float, *, about: Record | None = None) -> tuple[MemberNews, ...]:
+    def take_fill(self, now: float, *, about: MemberRecord | None = None) -> tuple[MemberNews, ...]:
         """Give the news for one message: of one member in turn, for its load.
 
         A receiver that is suspected is told so, since only it can answer.
@@ -152,7 +152,7 @@
             verdicts=tuple(record.verdict for record in known),
         )
 
-    def suspect(self, record: Record, now: float) -> None:
+    def suspect(self, record: MemberRecord, now: float) -> None:
         """Start to suspect a member."""
         record.set_status(version=record.version, status=Status.SUSPECT, now=now)
         self.note_change(record)
@@ -170,14 +170,14 @@
         for record in self._under_suspicion():
             self._start_suspicion(record, now)
 
-    def mark_leaving(self, record: Record) -> None:
+    def mark_leaving(self, record: MemberRecord) -> None:
         """Mark a life as leaving; there is no way back."""
         if record.leaving:
             return
         record.set_leaving()
         self.note_change(record)
 
-    def note_change(self, record: Record, *, whole: bool = False) -> None:
+    def note_change(self, record: MemberRecord, *, whole: bool = False) -> None:
         """Note that peers must hear of a member, and readers see a new view."""
         self.queue.add(record.incarnation.name, whole=whole)
         self.changed = True
@@ -204,12 +204,12 @@
         elif record.merge_verdict(verdict, now):
             self._note_merged(record, now)
 
-    def _note_merged(self, record: Record, now: float) -> None:
+    def _note_merged(self, record: MemberRecord, now: float) -> None:
         self.note_change(record)
         if record.status is Status.SUSPECT and record.suspect_until is None:
             self._start_suspicion(record, now)
 
-    def _learn(self, news: MemberNews, former: Record | None, now: float) -> None:
+    def _learn(self, news: MemberNews, former: MemberRecord | None, now: float) -> None:
         """Take a life heard of for the first time.
 
         The death of a name never heard of is not kept: each VM forgets its dead at
@@ -234,12 +234,12 @@
         self.own.set_version(verdict.version + 1)
         self.note_change(self.own)
 
-    def _start_suspicion(self, record: Record, now: float) -> None:
+    def _start_suspicion(self, record: MemberRecord, now: float) -> None:
         patience_s = self._settings.suspicion_periods * self._settings.period_s
         record.suspect_until = now + patience_s * self.health.factor
         self._suspected.add(record.incarnation.name)
 
-    def _under_suspicion(self) -> list[Record]:
+    def _under_suspicion(self) -> list[MemberRecord]:
         records = self._records(sorted(self._suspected))
         running = [record for record in records if record.suspect_until is not None]
         self._suspected = {record.incarnation.name for record in running}
@@ -261,6 +261,6 @@
         self._fill_turn = (self._fill_turn + 1) % len(others)
         return others[self._fill_turn].incarnation.name
 
-    def _records(self, names: Iterable[str]) -> list[Record]:
+    def _records(self, names: Iterable[str]) -> list[MemberRecord]:
         found = (self.table.named(name) for name in names)
         return [record for record in found if record is not None]
--- a/lagoonlever/decisions/membership/table.py
+++ b/lagoonlever/decisions/membership/table.py
@@ -25,7 +25,7 @@
 
 
 @attrs.define(kw_only=True, eq=False)
-class Record:
+class MemberRecord:
     """One known life of a member; times in seconds of the own monotonic clock."""
 
     incarnation: Incarnation
@@ -163,9 +163,9 @@
             self.load_at = reported_at
 
 
-def record_of(news: MemberNews, now: float) -> Record:
+def record_of(news: MemberNews, now: float) -> MemberRecord:
     """Give the record of a life heard of for the first time."""
-    record = Record(
+    record = MemberRecord(
         incarnation=news.incarnation,
         data_center=news.data_center,
         http=news.http_address,
@@ -184,9 +184,9 @@
 class MemberTable:
     """The newest known life of each name."""
 
-    _records: dict[str, Record] = attrs.field(factory=dict)
+    _records: dict[str, MemberRecord] = attrs.field(factory=dict)
 
-    def __iter__(self) -> Iterator[Record]:
+    def __iter__(self) -> Iterator[MemberRecord]:
         return iter(self._records.values())
 
     @property
@@ -207,20 +207,20 @@
                 totals[record.bucket] ^= record.digest
         return tuple(totals)
 
-    def named(self, name: str) -> Record | None:
+    def named(self, name: str) -> MemberRecord | None:
         """Give the newest known life of a name."""
         return self._records.get(name)
 
-    def find(self, incarnation: Incarnation) -> Record | None:
+    def find(self, incarnation: Incarnation) -> MemberRecord | None:
         """Give the record of exactly this life."""
         record = self._records.get(incarnation.name)
         return record if record is not None and record.incarnation == incarnation else None
 
-    def put(self, record: Record) -> None:
+    def put(self, record: MemberRecord) -> None:
         """Set the newest life of a name."""
         self._records[record.incarnation.name] = record
 
-    def differing(self, buckets: tuple[int, ...]) -> list[Record]:
+    def differing(self, buckets: tuple[int, ...]) -> list[MemberRecord]:
         """Give the members, dead ones too, of the buckets whose digests differ."""
         own = self.buckets
         if len(buckets) != BUCKETS:
--- a/lagoonlever/tests/membership_tests.py
+++ b/lagoonlever/tests/membership_tests.py
@@ -12,7 +12,7 @@
 from lagoonlever.bench.membership_network import Network, Node, node_address, node_name
 from lagoonlever.decisions.membership.membership import MemberState
 from lagoonlever.decisions.membership.protocol import ListedVm, MembershipProtocol
-from lagoonlever.decisions.membership.table import Record
+from lagoonlever.decisions.membership.table import MemberRecord
 from lagoonlever.identity import Incarnation
 from lagoonlever.peers.messages_membership import Gossip, Status
 
@@ -42,14 +42,14 @@
 def deaths(monkeypatch: pytest.MonkeyPatch) -> list[str]:
     """Give the list that names each member as any VM takes it for dead."""
     names: list[str] = []
-    set_status = Record.set_status
+    set_status = MemberRecord.set_status
 
-    def note(record: Record, *, version: int, status: Status, now: float) -> None:
+    def note(record: MemberRecord, *, version: int, status: Status, now: float) -> None:
         if status is Status.DEAD:
             names.append(record.incarnation.name)
         set_status(record, version=version, status=status, now=now)
 
-    monkeypatch.setattr(Record, "set_status", note)
+    monkeypatch.setattr(MemberRecord, "set_status", note)
     return names
 
 
@@ -218,7 +218,7 @@
     once, the verdicts empty the member list, and callers are turned away.
     """
     if not guarded:
-        monkeypatch.setattr(Record, "_status_to_take", lambda _, news: news.status)
+        monkeypatch.setattr(MemberRecord, "_status_to_take", lambda _, news: news.status)
     network = fleet(9)
     network.cut_off({0, 1, 2, 3})
     network.run(60)
