--- a/lagoonlever/decisions/membership/protocol.py
+++ b/lagoonlever/decisions/membership/protocol.py
@@ -114,7 +114,7 @@
         """
         self._listed = listed
         for vm in listed:
-            record = self._roster.table.named(vm.name)
+            record = self._roster.table.find_by_name(vm.name)
             if not vm.leaving or record is None or record.peers != vm.peers:
                 continue
             if now - record.known_since >= LISTING_SETTLE_S:
--- a/lagoonlever/decisions/membership/roster.py
+++ b/lagoonlever/decisions/membership/roster.py
@@ -122,7 +122,7 @@
 
     def correction(self, news: MemberNews, now: float) -> tuple[MemberNews, ...]:
         """Give what a sender must hear of itself: a suspicion, its death, its newer life."""
-        record = self.table.named(news.name)
+        record = self.table.find_by_name(news.name)
         if record is None:
             return ()
         same = record.incarnation == news.incarnation
@@ -184,7 +184,7 @@
         self._summary = None
 
     def _merge(self, news: MemberNews, now: float) -> None:
-        record = self.table.named(news.name)
+        record = self.table.find_by_name(news.name)
         if record is None or news.incarnation > record.incarnation:
             self._learn(news, record, now)
         elif news.incarnation < record.incarnation:
@@ -196,7 +196,7 @@
 
     def _merge_verdict(self, verdict: Verdict, now: float) -> None:
         """Join a verdict; one on a life not known here is left to the digests."""
-        record = self.table.named(verdict.name)
+        record = self.table.find_by_name(verdict.name)
         if record is None or record.incarnation.nonce != verdict.nonce:
             return
         if record is self.own:
@@ -262,5 +262,5 @@
         return others[self._fill_turn].incarnation.name
 
     def _records(self, names: Iterable[str]) -> list[MemberRecord]:
-        found = (self.table.named(name) for name in names)
+        found = (self.table.find_by_name(name) for name in names)
         return [record for record in found if record is not None]
--- a/lagoonlever/decisions/membership/table.py
+++ b/lagoonlever/decisions/membership/table.py
@@ -207,7 +207,7 @@
                 totals[record.bucket] ^= record.digest
         return tuple(totals)
 
-    def named(self, name: str) -> MemberRecord | None:
+    def find_by_name(self, name: str) -> MemberRecord | None:
         """Give the newest known life of a name."""
         return self._records.get(name)
 
