--- a/lagoonlever/bench/target_list.py
+++ b/lagoonlever/bench/target_list.py
@@ -11,7 +11,7 @@
 
 from lagoonlever.bench.report import Aim, BenchOptions, BenchResult, Rows, benchmark, column
 from lagoonlever.bench.statistics import quantile
-from lagoonlever.decisions.membership.listing import reading_period_s
+from lagoonlever.decisions.membership.listing import list_read_interval_s
 from lagoonlever.decisions.membership.membership import Member, MemberState, MemberView
 from lagoonlever.decisions.targets.listing import ListedTarget, TargetListReading
 from lagoonlever.decisions.targets.targets import TargetKind
@@ -199,7 +199,7 @@
         self._send(index, knowledge.read(reading))
 
     def _until_next_read(self, index: int) -> float:
-        period_s = reading_period_s(self.vms, self.rng)
+        period_s = list_read_interval_s(self.vms, self.rng)
         first = index not in self._has_read
         self._has_read.add(index)
         if first and not self.scenario.together:
--- a/lagoonlever/decisions/membership/listing.py
+++ b/lagoonlever/decisions/membership/listing.py
@@ -49,7 +49,7 @@
         return TargetListReading(targets=tuple(_targets(self.vms)), read_at=self.read_at)
 
 
-def reading_period_s(members: int, random: Random) -> float:
+def list_read_interval_s(members: int, random: Random) -> float:
     """Give the seconds until this VM reads the list again, among so many reachable VMs.
 
     A VM that reaches no other reads at the full rate: it has nobody to tell it.
--- a/lagoonlever/entry/fleet/membership.py
+++ b/lagoonlever/entry/fleet/membership.py
@@ -15,7 +15,7 @@
 import trio
 
 from lagoonlever.decisions.membership.changes import ChangeKind, changes_between
-from lagoonlever.decisions.membership.listing import VmListReading, reading_period_s
+from lagoonlever.decisions.membership.listing import VmListReading, list_read_interval_s
 from lagoonlever.decisions.membership.membership import Member, MemberView
 from lagoonlever.decisions.membership.protocol import MembershipProtocol
 from lagoonlever.decisions.membership.settings import MembershipSettings
@@ -231,7 +231,7 @@
         while True:
             await self._read_vm_list_once()
             reachable = len(self.members.value.reachable)
-            await trio.sleep(reading_period_s(reachable, self._random))
+            await trio.sleep(list_read_interval_s(reachable, self._random))
 
     async def _read_vm_list_once(self) -> None:
         read_at = self._timers.now
--- a/lagoonlever/tests/entry_membership_tests.py
+++ b/lagoonlever/tests/entry_membership_tests.py
@@ -8,7 +8,7 @@
 import trio
 import trio.testing
 
-from lagoonlever.decisions.membership.listing import reading_period_s
+from lagoonlever.decisions.membership.listing import list_read_interval_s
 from lagoonlever.decisions.membership.membership import Member, MemberState
 from lagoonlever.entry.fleet.membership import MembershipPart
 from lagoonlever.exceptions import PlatformUnavailable
@@ -147,7 +147,7 @@
 
 def test_readings_of_the_list_grow_more_slowly_than_the_fleet() -> None:
     random = Random(1)
-    rates = [n / reading_period_s(n, random) for n in (9, 27, 100, 400)]
+    rates = [n / list_read_interval_s(n, random) for n in (9, 27, 100, 400)]
     assert all(rate < 11 for rate in rates)
     assert rates[-1] < 5
-    assert reading_period_s(1, random) < 1.2
+    assert list_read_interval_s(1, random) < 1.2
