--- a/lagoonlever/bench/membership_runs.py
+++ b/lagoonlever/bench/membership_runs.py
@@ -15,7 +15,7 @@
 from lagoonlever.decisions.membership.table import MemberTable, record_of
 from lagoonlever.peers.frames import encode_header
 from lagoonlever.peers.messages import PEER
-from lagoonlever.peers.messages_membership import Gossip, MemberNews, Status
+from lagoonlever.peers.messages_membership import Gossip, MemberUpdate, Status
 from lagoonlever.peers.traffic import MESSAGE_OVERHEAD_BYTES
 
 STEP_S = 0.1
@@ -124,7 +124,7 @@
     )
 
 
-def _beat(sender: Node, news: MemberNews, table: MemberTable, now: float) -> int:
+def _beat(sender: Node, news: MemberUpdate, table: MemberTable, now: float) -> int:
     """Encode, decode and take in one heartbeat, as a sender and a receiver would."""
     data = PEER.encode(Gossip(news=(news,)))
     head = encode_header(sender=sender.incarnation, expected=sender.incarnation, now=now, ttl_s=1.0)
@@ -306,9 +306,9 @@
     return (after - before) / 1e6
 
 
-def _news(index: int) -> MemberNews:
+def _news(index: int) -> MemberUpdate:
     address = node_address(index)
-    return MemberNews(
+    return MemberUpdate(
         name=node_name(index),
         started_ms=1_800_000_000_000 + index,
         nonce=index,
--- a/lagoonlever/decisions/membership/protocol.py
+++ b/lagoonlever/decisions/membership/protocol.py
@@ -21,7 +21,7 @@
 from lagoonlever.peers.messages_membership import (
     Ack,
     Gossip,
-    MemberNews,
+    MemberUpdate,
     MembershipMessage,
     Nack,
     Ping,
@@ -95,7 +95,7 @@
         self._roster.changed = False
         return self._roster.view(now)
 
-    def own_update(self, now: float) -> MemberNews:
+    def own_update(self, now: float) -> MemberUpdate:
         """Give what peers are told of this VM."""
         return self._roster.own_news(now)
 
@@ -217,7 +217,7 @@
         )
         self._outbox.send(address, ping)
 
-    def _sync_if_different(self, peer: MemberNews, digest: int, now: float) -> None:
+    def _sync_if_different(self, peer: MemberUpdate, digest: int, now: float) -> None:
         """Ask for what a peer knows otherwise, at a bounded rate."""
         if digest == self._roster.digest or now < self._sync_due:
             return
@@ -241,7 +241,7 @@
             self._outbox.send(neighbour.peers, gossip, expected=neighbour.incarnation)
 
 
-def _news_of(message: MembershipMessage) -> Iterable[MemberNews]:
+def _news_of(message: MembershipMessage) -> Iterable[MemberUpdate]:
     match message:
         case Ping() | Ack():
             return (message.own, *message.news)
--- a/lagoonlever/decisions/membership/roster.py
+++ b/lagoonlever/decisions/membership/roster.py
@@ -16,7 +16,7 @@
 from lagoonlever.decisions.membership.rings import Neighbours, neighbours
 from lagoonlever.decisions.membership.settings import MembershipSettings
 from lagoonlever.decisions.membership.table import MemberTable, MemberRecord, record_of
-from lagoonlever.peers.messages_membership import Gossip, MemberNews, Status, Verdict
+from lagoonlever.peers.messages_membership import Gossip, MemberUpdate, Status, Verdict
 
 
 @attrs.frozen(kw_only=True)
@@ -99,11 +99,13 @@
         members = sorted(entries, key=lambda member: member.name)
         return MemberView(members=tuple(members), own=self._own.incarnation)
 
-    def own_news(self, now: float) -> MemberNews:
+    def own_news(self, now: float) -> MemberUpdate:
         """Give the news of this VM."""
         return self.own.news(now)
 
-    def take_fill(self, now: float, *, about: MemberRecord | None = None) -> tuple[MemberNews, ...]:
+    def take_fill(
+        self, now: float, *, about: MemberRecord | None = None
+    ) -> tuple[MemberUpdate, ...]:
         """Give the news for one message: of one member in turn, for its load.
 
         A receiver that is suspected is told so, since only it can answer.
@@ -120,7 +122,7 @@
         """Give the recent changes that ride on one message."""
         return tuple(record.verdict for record in self._records(self.queue.take_piggyback()))
 
-    def correction(self, news: MemberNews, now: float) -> tuple[MemberNews, ...]:
+    def correction(self, news: MemberUpdate, now: float) -> tuple[MemberUpdate, ...]:
         """Give what a sender must hear of itself: a suspicion, its death, its newer life."""
         record = self.table.find_by_name(news.name)
         if record is None:
@@ -130,7 +132,7 @@
             return ()
         return (record.news(now),)
 
-    def merge_news(self, news: Iterable[MemberNews], now: float) -> None:
+    def merge_news(self, news: Iterable[MemberUpdate], now: float) -> None:
         """Join news of members."""
         for one in news:
             self._merge(one, now)
@@ -183,7 +185,7 @@
         self.changed = True
         self._summary = None
 
-    def _merge(self, news: MemberNews, now: float) -> None:
+    def _merge(self, news: MemberUpdate, now: float) -> None:
         record = self.table.find_by_name(news.name)
         if record is None or news.incarnation > record.incarnation:
             self._learn(news, record, now)
@@ -209,7 +211,7 @@
         if record.status is Status.SUSPECT and record.suspect_until is None:
             self._start_suspicion(record, now)
 
-    def _learn(self, news: MemberNews, former: MemberRecord | None, now: float) -> None:
+    def _learn(self, news: MemberUpdate, former: MemberRecord | None, now: float) -> None:
         """Take a life heard of for the first time.
 
         The death of a name never heard of is not kept: each VM forgets its dead at
--- a/lagoonlever/decisions/membership/table.py
+++ b/lagoonlever/decisions/membership/table.py
@@ -15,7 +15,7 @@
 from lagoonlever.decisions.membership.membership import Member, MemberState
 from lagoonlever.http.messages import Address
 from lagoonlever.identity import Incarnation
-from lagoonlever.peers.messages_membership import MemberNews, Status, Verdict
+from lagoonlever.peers.messages_membership import MemberUpdate, Status, Verdict
 
 BUCKETS = 16
 MAX_LOAD_AGE_S = 120
@@ -95,9 +95,9 @@
             load=self.load if self.load_known(now) else usual_load,
         )
 
-    def news(self, now: float) -> MemberNews:
+    def news(self, now: float) -> MemberUpdate:
         """Give what peers are told."""
-        return MemberNews(
+        return MemberUpdate(
             name=self.incarnation.name,
             started_ms=self.incarnation.started_ms,
             nonce=self.incarnation.nonce,
@@ -111,7 +111,7 @@
             load_age_s=round(min(now - self.load_at, MAX_LOAD_AGE_S + 1)),
         )
 
-    def merge(self, news: MemberNews, now: float) -> bool:
+    def merge(self, news: MemberUpdate, now: float) -> bool:
         """Join news of the same life; tells whether peers should hear of it."""
         self._merge_load(news, now)
         return self.merge_verdict(news.verdict, now)
@@ -156,14 +156,14 @@
         unheralded = verdict.status is Status.DEAD and self.status is Status.ALIVE
         return Status.SUSPECT if unheralded and not verdict.leaving else verdict.status
 
-    def _merge_load(self, news: MemberNews, now: float) -> None:
+    def _merge_load(self, news: MemberUpdate, now: float) -> None:
         reported_at = now - news.load_age_s
         if news.load_age_s <= MAX_LOAD_AGE_S and reported_at > self.load_at:
             self.load = news.load_percent / 100
             self.load_at = reported_at
 
 
-def record_of(news: MemberNews, now: float) -> MemberRecord:
+def record_of(news: MemberUpdate, now: float) -> MemberRecord:
     """Give the record of a life heard of for the first time."""
     record = MemberRecord(
         incarnation=news.incarnation,
--- a/lagoonlever/peers/messages_membership.py
+++ b/lagoonlever/peers/messages_membership.py
@@ -36,7 +36,7 @@
     leaving: bool
 
 
-class MemberNews(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
+class MemberUpdate(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
     """All that one VM tells another of a member.
 
     ``load_age_s`` is how long ago the member reported its load, since clocks are
@@ -92,9 +92,9 @@
     """Asks for a sign of life; ``digest`` sums up the sender's view."""
 
     sequence: int
-    own: MemberNews
+    own: MemberUpdate
     digest: int
-    news: tuple[MemberNews, ...] = ()
+    news: tuple[MemberUpdate, ...] = ()
     verdicts: tuple[Verdict, ...] = ()
 
 
@@ -103,9 +103,9 @@
     """Answers a ping, or passes on that a helper's ping was answered."""
 
     sequence: int
-    own: MemberNews
+    own: MemberUpdate
     digest: int
-    news: tuple[MemberNews, ...] = ()
+    news: tuple[MemberUpdate, ...] = ()
     verdicts: tuple[Verdict, ...] = ()
 
 
@@ -114,8 +114,8 @@
     """Asks a helper to ping a member that did not answer directly."""
 
     sequence: int
-    own: MemberNews
-    target: MemberNews
+    own: MemberUpdate
+    target: MemberUpdate
 
 
 @PEER.message("mn")
@@ -129,7 +129,7 @@
 class Gossip(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
     """Passes changes on at once: news of lives just heard of, verdicts on the others."""
 
-    news: tuple[MemberNews, ...] = ()
+    news: tuple[MemberUpdate, ...] = ()
     verdicts: tuple[Verdict, ...] = ()
 
 
@@ -137,7 +137,7 @@
 class SyncRequest(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
     """Asks for the members in which two views differ: one digest a bucket of names."""
 
-    own: MemberNews
+    own: MemberUpdate
     buckets: tuple[int, ...]
 
 
@@ -145,7 +145,7 @@
 class SyncReply(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
     """Gives the members of the buckets that differ."""
 
-    news: tuple[MemberNews, ...]
+    news: tuple[MemberUpdate, ...]
 
 
 MembershipMessage = Ping | Ack | PingRequest | Nack | Gossip | SyncRequest | SyncReply
