--- a/lagoonlever/decisions/fleet/queue_coordinators.py
+++ b/lagoonlever/decisions/fleet/queue_coordinators.py
@@ -10,10 +10,10 @@
 
 from collections.abc import Iterable
 
-from lagoonlever.decisions.fleet.update_routing import sends_directly
 from lagoonlever.decisions.fleet.peer_table import PeerState
 from lagoonlever.decisions.fleet.rendezvous import rank_by_hash
 from lagoonlever.decisions.fleet.roles import Roles
+from lagoonlever.decisions.fleet.update_routing import sends_directly
 
 MAX_COORDINATORS_ASKED = 2
 """VMs that are asked for a line before one goes without: the keeper, and who takes it over."""
--- a/lagoonlever/decisions/membership/protocol.py
+++ b/lagoonlever/decisions/membership/protocol.py
@@ -21,8 +21,8 @@
 from lagoonlever.peers.messages_membership import (
     Ack,
     Gossip,
-    MemberUpdate,
     MembershipMessage,
+    MemberUpdate,
     Nack,
     Ping,
     PingRequest,
--- a/lagoonlever/decisions/membership/roster.py
+++ b/lagoonlever/decisions/membership/roster.py
@@ -15,7 +15,7 @@
 from lagoonlever.decisions.membership.probe import LocalHealth
 from lagoonlever.decisions.membership.rings import Neighbours, neighbours
 from lagoonlever.decisions.membership.settings import MembershipSettings
-from lagoonlever.decisions.membership.table import MemberTable, MemberRecord, record_of
+from lagoonlever.decisions.membership.table import MemberRecord, MemberTable, record_of
 from lagoonlever.peers.messages_membership import Gossip, MemberUpdate, Status, Verdict
 
 
--- a/lagoonlever/gateway/hub_spread.py
+++ b/lagoonlever/gateway/hub_spread.py
@@ -6,9 +6,9 @@
 
 import attrs
 
-from lagoonlever.decisions.fleet.update_routing import hub_recipients, sends_directly
 from lagoonlever.decisions.fleet.peer_table import PeerState
 from lagoonlever.decisions.fleet.roles import Roles
+from lagoonlever.decisions.fleet.update_routing import hub_recipients, sends_directly
 from lagoonlever.gateway.beliefs import Beliefs
 from lagoonlever.peers.interface import Bus
 from lagoonlever.published import Published
--- a/lagoonlever/gateway/knowledge.py
+++ b/lagoonlever/gateway/knowledge.py
@@ -13,9 +13,9 @@
 import msgspec
 import trio
 
-from lagoonlever.decisions.fleet.update_routing import forward_recipients, push_recipients
 from lagoonlever.decisions.fleet.peer_table import PeerState
 from lagoonlever.decisions.fleet.roles import Roles
+from lagoonlever.decisions.fleet.update_routing import forward_recipients, push_recipients
 from lagoonlever.decisions.targets.listed_target import ListedTarget, TargetChange
 from lagoonlever.gateway import events
 from lagoonlever.gateway.beliefs import Beliefs
--- a/lagoonlever/gateway/peers.py
+++ b/lagoonlever/gateway/peers.py
@@ -7,8 +7,8 @@
 import attrs
 import trio
 
-from lagoonlever.decisions.fleet.update_routing import placement_hubs, sends_directly
 from lagoonlever.decisions.fleet.roles import Roles
+from lagoonlever.decisions.fleet.update_routing import placement_hubs, sends_directly
 from lagoonlever.decisions.streams.booked_runs import BookedRun, RunCopy
 from lagoonlever.gateway.beliefs import Beliefs
 from lagoonlever.gateway.learner import Learner
--- a/lagoonlever/gateway/placer.py
+++ b/lagoonlever/gateway/placer.py
@@ -16,8 +16,8 @@
 
 from lagoonlever.decisions.engines.engine_paces import KeptPace
 from lagoonlever.decisions.engines.uneven_engines import UnevenChoice
-from lagoonlever.decisions.fleet.update_routing import placement_hubs
 from lagoonlever.decisions.fleet.roles import Roles
+from lagoonlever.decisions.fleet.update_routing import placement_hubs
 from lagoonlever.decisions.settings.configuration import RouteKind
 from lagoonlever.decisions.settings.load_parts import has_ranks
 from lagoonlever.decisions.streams.run_placement import (
--- a/lagoonlever/gateway/run_relay.py
+++ b/lagoonlever/gateway/run_relay.py
@@ -22,9 +22,9 @@
 import trio
 
 from lagoonlever.codec import UnknownMessage
-from lagoonlever.decisions.fleet.update_routing import vms_affected_by_losses, sends_directly
 from lagoonlever.decisions.fleet.peer_table import PeerState
 from lagoonlever.decisions.fleet.roles import Roles
+from lagoonlever.decisions.fleet.update_routing import sends_directly, vms_affected_by_losses
 from lagoonlever.decisions.streams.booked_runs import BookedRun
 from lagoonlever.gateway import events
 from lagoonlever.gateway.beliefs import Beliefs
--- a/lagoonlever/tests/roles_tests.py
+++ b/lagoonlever/tests/roles_tests.py
@@ -5,8 +5,8 @@
 from lagoonlever.decisions.fleet.peer_table import PeerState
 from lagoonlever.decisions.fleet.roles import (
     HUBS_PER_DATA_CENTER,
-    MIN_READERS,
     MAX_MESH_VMS,
+    MIN_READERS,
     assign_roles,
 )
 from lagoonlever.http.messages import Address
