--- a/lagoonlever/bench/membership_runs.py
+++ b/lagoonlever/bench/membership_runs.py
@@ -190,7 +190,7 @@
         for other, node in list(waiting.items()):
             if not node.protocol.changed:
                 continue
-            member = node.protocol.take_view(network.now).named(node_name(index))
+            member = node.protocol.take_view(network.now).find_by_name(node_name(index))
             state = member.state if member else wanted
             if state is not MemberState.ALIVE and other in unsuspecting:
                 unsuspecting.discard(other)
--- a/lagoonlever/decisions/claims/copies.py
+++ b/lagoonlever/decisions/claims/copies.py
@@ -30,7 +30,7 @@
     Other data centres than the home's come first as far as the home is known,
     so that the copies outlive the loss of a data centre.
     """
-    member = view.named(home.name)
+    member = view.find_by_name(home.name)
     data_center = member.data_center if member else None
     others = [other for other in view.reachable if other.name != home.name]
     ordered = sorted(others, key=lambda other: _weight(home, other), reverse=True)
--- a/lagoonlever/decisions/fleet/planned_stop.py
+++ b/lagoonlever/decisions/fleet/planned_stop.py
@@ -71,7 +71,7 @@
         """
         if self._began_at is None or self._ended:
             return self.phase
-        if open_work.anything:
+        if open_work.pending:
             self._busy_at = now
         lifetime_over = now - self._began_at >= self._address_lifetime_s
         if lifetime_over and now - self._busy_at >= self._quiet_s:
--- a/lagoonlever/decisions/membership/changes.py
+++ b/lagoonlever/decisions/membership/changes.py
@@ -47,7 +47,7 @@
     """Give the changes of state and of lives, in the order of names."""
     changes: list[MemberChange] = []
     for member in after.members:
-        former = before.named(member.name)
+        former = before.find_by_name(member.name)
         if former is not None and former.incarnation == member.incarnation:
             if former.state is not member.state:
                 changes.append(MemberChange(kind=_kind(former, member), member=member))
--- a/lagoonlever/decisions/streams/orphans.py
+++ b/lagoonlever/decisions/streams/orphans.py
@@ -114,5 +114,5 @@
 def _is_lost(owner: Incarnation, view: MemberView) -> bool:
     member = view.find(owner)
     if member is None:
-        return view.is_over(owner)
+        return view.is_replaced(owner)
     return member.state is MemberState.DEAD
--- a/lagoonlever/entry/generations/peer_streams.py
+++ b/lagoonlever/entry/generations/peer_streams.py
@@ -21,7 +21,7 @@
     def taken_over(self, vm: str, *, organisation: str, request_id: str, attempt: int) -> None:
         """Tell the VM that served a caller before that this one does so now."""
         view = self._members.value
-        member = view.named(vm)
+        member = view.find_by_name(vm)
         if member is None or member.incarnation == view.own:
             return
         message = TakenOver(organisation=organisation, request_id=request_id, attempt=attempt)
--- a/lagoonlever/tests/entry_membership_tests.py
+++ b/lagoonlever/tests/entry_membership_tests.py
@@ -93,14 +93,14 @@
             parts[3].leave()
             await trio.sleep(1)
             for each in parts:
-                told = each.members.value.named("vm-3")
+                told = each.members.value.find_by_name("vm-3")
                 assert told is not None
                 assert told.state is MemberState.LEAVING
 
             parts[3].depart()
             await trio.sleep(1)
             for each in parts[:3]:
-                gone = each.members.value.named("vm-3")
+                gone = each.members.value.find_by_name("vm-3")
                 assert gone is not None
                 assert gone.state is MemberState.DEAD
                 assert len(each.members.value.alive) == 3
@@ -134,7 +134,7 @@
             reader.vms = (*everyone[:2], listed(2, state=VmState.LEAVING), engine)
             await trio.sleep(2.5)
             for each in parts:
-                told = each.members.value.named("vm-2")
+                told = each.members.value.find_by_name("vm-2")
                 assert told is not None
                 assert told.state is MemberState.LEAVING
             targets = parts[0].target_list.value
--- a/lagoonlever/tests/membership_tests.py
+++ b/lagoonlever/tests/membership_tests.py
@@ -279,7 +279,7 @@
     for index in range(4):
         view = network.nodes[index].protocol.take_view(network.now)
         assert view.find(replacement.incarnation) is not None
-        assert view.is_over(former.incarnation)
+        assert view.is_replaced(former.incarnation)
 
 
 def test_a_listing_marks_only_a_life_that_is_old_enough() -> None:
@@ -317,7 +317,7 @@
     """
     network = fleet(3)
     observer, other = network.nodes[0].protocol, network.nodes[2]
-    late = Gossip(news=(other.protocol.own_news(network.now),))
+    late = Gossip(news=(other.protocol.own_update(network.now),))
     other.protocol.leave(network.now)
     network.run(1)
     observer.receive(late, network.now)
@@ -329,7 +329,7 @@
     observer.receive(late, network.now)
     view = observer.take_view(network.now)
     assert view.find(replacement.incarnation) is not None
-    assert view.is_over(other.incarnation)
+    assert view.is_replaced(other.incarnation)
 
 
 def test_a_member_whose_load_is_not_known_counts_as_the_usual_one() -> None:
