--- a/lagoonlever/decisions/fleet/roles.py
+++ b/lagoonlever/decisions/fleet/roles.py
@@ -22,14 +22,14 @@
 
 import attrs
 
-from lagoonlever.decisions.fleet.fellows import FellowState
-from lagoonlever.decisions.fleet.rendezvous import ranked
+from lagoonlever.decisions.fleet.peer_table import PeerState
+from lagoonlever.decisions.fleet.rendezvous import rank_by_hash
 
-MESH_MOST = 12
+MAX_MESH_VMS = 12
 """Up to this many VMs every one speaks to every other."""
-HUBS = 2
+HUBS_PER_DATA_CENTER = 2
 """In each data centre: one may die, and the other's word is there meanwhile."""
-LEAST_READERS = 3
+MIN_READERS = 3
 """In the whole fleet: one may be cut from the store and one from its fellows."""
 OUTAGE_AWAY = 3
 """So many VMs of each data centre that can't reach the store mean that nobody can.
@@ -53,9 +53,9 @@
     """The hubs of the other data centres."""
 
 
-def roles_of(
-    own: FellowState,
-    fellows: Iterable[FellowState],
+def assign_roles(
+    own: PeerState,
+    fellows: Iterable[PeerState],
     *,
     failed: frozenset[str] = frozenset(),
     isolated: bool = False,
@@ -66,11 +66,11 @@
     hub of late, so it can't count on anybody's word and reads for itself.
     """
     present = [own, *(fellow for fellow in fellows if not fellow.leaving)]
-    by_place: dict[str, list[FellowState]] = {}
+    by_place: dict[str, list[PeerState]] = {}
     for state in present:
         by_place.setdefault(state.data_center, []).append(state)
     hubs = {
-        place: _first([s for s in states if s.life.name not in failed], "hub", HUBS)
+        place: _first([s for s in states if s.life.name not in failed], "hub", HUBS_PER_DATA_CENTER)
         for place, states in by_place.items()
     }
     own_hubs = hubs[own.data_center]
@@ -78,7 +78,7 @@
     return Roles(
         reads_store=isolated or own.life.name in readers,
         is_hub=own.life.name in own_hubs,
-        mesh=len(present) <= MESH_MOST,
+        mesh=len(present) <= MAX_MESH_VMS,
         hubs=own_hubs,
         other_hubs=tuple(
             name for place, names in hubs.items() if place != own.data_center for name in names
@@ -86,13 +86,13 @@
     )
 
 
-def _readers(by_place: dict[str, list[FellowState]]) -> set[str]:
+def _readers(by_place: dict[str, list[PeerState]]) -> set[str]:
     """Give the readers: in each data centre the first of those that reach the store.
 
     For each one that does not reach it one more tries, so that a few steps find some that
     do, until it is clear that there are none.
     """
-    count = math.ceil(LEAST_READERS / len(by_place))
+    count = math.ceil(MIN_READERS / len(by_place))
     readers: set[str] = set()
     for states in by_place.values():
         reaching = [state for state in states if not state.store_away]
@@ -104,8 +104,8 @@
     return readers
 
 
-def _first(states: list[FellowState], purpose: str, count: int) -> tuple[str, ...]:
+def _first(states: list[PeerState], purpose: str, count: int) -> tuple[str, ...]:
     """Give the first few by the width of their links, and by a hash where these are alike."""
     links = {state.life.name: state.link_mbps for state in states}
-    by_hash = ranked(links, purpose=purpose)
+    by_hash = rank_by_hash(links, purpose=purpose)
     return tuple(sorted(by_hash, key=lambda name: -links[name])[:count])
--- a/lagoonlever/decisions/membership/membership.py
+++ b/lagoonlever/decisions/membership/membership.py
@@ -79,7 +79,7 @@
         """Whether a newer life of this VM's name is known, so that this process must end."""
         return self.own_member is None
 
-    def named(self, name: str) -> Member | None:
+    def find_by_name(self, name: str) -> Member | None:
         """Give the newest known life of a VM."""
         return self._by_name.get(name)
 
@@ -90,7 +90,7 @@
             return None
         return member
 
-    def is_over(self, incarnation: Incarnation) -> bool:
+    def is_replaced(self, incarnation: Incarnation) -> bool:
         """Whether a newer life of the same name proves that this one has been replaced."""
         member = self._by_name.get(incarnation.name)
         return member is not None and member.incarnation > incarnation
--- a/lagoonlever/gateway/hub_spread.py
+++ b/lagoonlever/gateway/hub_spread.py
@@ -6,9 +6,9 @@
 
 import attrs
 
-from lagoonlever.decisions.fleet.fellows import FellowState
-from lagoonlever.decisions.fleet.news_paths import hubs_told, tells_directly
+from lagoonlever.decisions.fleet.peer_table import PeerState
 from lagoonlever.decisions.fleet.roles import Roles
+from lagoonlever.decisions.fleet.update_routing import hub_recipients, sends_directly
 from lagoonlever.gateway.beliefs import Beliefs
 from lagoonlever.peers.interface import Bus
 from lagoonlever.published import Published
@@ -39,7 +39,7 @@
         roles = self._roles.value
         if self._is_small or roles is None:
             return
-        self._send(hubs_told(roles, own=self._own, source=source), message)
+        self._send(hub_recipients(roles, own=self._own, source=source), message)
         if not roles.is_hub or for_plain is None:
             return
         hubs = frozenset(roles.hubs)
@@ -48,12 +48,12 @@
         self._bus.send_to_all(plain, for_plain)
 
     @property
-    def _fellows(self) -> tuple[FellowState, ...]:
+    def _fellows(self) -> tuple[PeerState, ...]:
         return self._beliefs.fellows.states
 
     @property
     def _is_small(self) -> bool:
-        return tells_directly(len(self._fellows))
+        return sends_directly(len(self._fellows))
 
     def _send(self, names: Iterable[str], message: object) -> None:
         for name in names:
--- a/lagoonlever/gateway/peers.py
+++ b/lagoonlever/gateway/peers.py
@@ -7,8 +7,8 @@
 import attrs
 import trio
 
-from lagoonlever.decisions.fleet.news_paths import book_holders, tells_directly
 from lagoonlever.decisions.fleet.roles import Roles
+from lagoonlever.decisions.fleet.update_routing import placement_hubs, sends_directly
 from lagoonlever.decisions.streams.booked_runs import BookedRun, RunCopy
 from lagoonlever.gateway.beliefs import Beliefs
 from lagoonlever.gateway.learner import Learner
@@ -82,7 +82,7 @@
         In a very large fleet it would let go of them at once: some 64 KB for each VM that
         starts, from hubs that all of them ask together after a loss of power.
         """
-        if tells_directly(len(self._beliefs.fellows.present(self._timers.now))):
+        if sends_directly(len(self._beliefs.fellows.present(self._timers.now))):
             self._tell_book(newcomer)
 
     def vm_lost(self, name: str) -> None:
@@ -138,7 +138,7 @@
     def holds_book(self) -> bool:
         """Tell whether this VM hears of the runs of all others."""
         present = len(self._beliefs.fellows.present(self._timers.now))
-        return not book_holders(self._roles.value, own=self._vm, present=present)
+        return not placement_hubs(self._roles.value, own=self._vm, present=present)
 
     def _keep_book(self, _: Tick) -> None:
         """Let go of what was heard before others were left to hear it."""
--- a/lagoonlever/gateway/presence.py
+++ b/lagoonlever/gateway/presence.py
@@ -15,17 +15,17 @@
 import logbook
 import trio
 
-from lagoonlever.decisions.fleet.digests import not_covered
-from lagoonlever.decisions.fleet.fellows import (
-    HUB_SILENT_S,
-    KNOWN_AFTER_S,
-    SAY_EVERY_S,
-    SILENT_S,
-    FellowState,
-    is_repeated,
-)
+from lagoonlever.decisions.fleet.digests import maximal_digests
 from lagoonlever.decisions.fleet.hub_watch import HubWatch
-from lagoonlever.decisions.fleet.roles import HUBS, Roles, roles_of
+from lagoonlever.decisions.fleet.peer_table import (
+    ANNOUNCE_INTERVAL_S,
+    DISCOVERY_S,
+    HUB_SILENCE_TIMEOUT_S,
+    SILENCE_TIMEOUT_S,
+    PeerState,
+    repeats_in_round,
+)
+from lagoonlever.decisions.fleet.roles import HUBS_PER_DATA_CENTER, Roles, assign_roles
 from lagoonlever.gateway import events
 from lagoonlever.gateway.beliefs import Beliefs
 from lagoonlever.http.messages import Address
@@ -40,7 +40,7 @@
 """After a start, before this VM takes a role: until then it hardly knows the others."""
 ASK_EVERY_S = 1.0
 """Between two questions for VMs that a hub has heard: its news tells most of them anyway."""
-ROUNDS_TOLD = HUBS
+ROUNDS_TOLD = HUBS_PER_DATA_CENTER
 """Digests that tell a change: a VM speaks to the hubs in turn, and each answers it only then."""
 ASK_FELLOW_EVERY_S = 3.0
 """Between two questions to fellows once a VM has had time to hear of all that live."""
@@ -53,7 +53,7 @@
     _bus: Bus
     _beliefs: Beliefs
     _timers: TimerService
-    _own_state: Callable[[], FellowState]
+    _own_state: Callable[[], PeerState]
     _seeds: tuple[Address, ...] = ()
     _greet: list[Callable[[Address], None]] = attrs.field(factory=list)
     _met: list[Callable[[Address], None]] = attrs.field(factory=list)
@@ -106,7 +106,7 @@
             nursery.start_soon(self._receive_digests)
             nursery.start_soon(self._receive_asks)
             nursery.start_soon(self._receive_lists)
-            with self._timers.subscribed(self._round, period_s=SAY_EVERY_S):
+            with self._timers.subscribed(self._round, period_s=ANNOUNCE_INTERVAL_S):
                 await trio.sleep_forever()
 
     def say_now(self) -> None:
@@ -139,33 +139,36 @@
 
     def _roles_now(
         self,
-        own: FellowState,
+        own: PeerState,
         now: float,
-        present: tuple[FellowState, ...],
+        present: tuple[PeerState, ...],
         *,
         without: frozenset[str] = frozenset(),
     ) -> Roles:
         """Work out the roles; ``without`` names hubs that are left out for a moment."""
         watch = self._hub_watch
-        return roles_of(
+        return assign_roles(
             own,
             present,
-            failed=watch.failed(now) | without,
+            failed=watch.failed_hubs(now) | without,
             isolated=watch.is_isolated(now),
         )
 
-    def _present(self, now: float) -> tuple[FellowState, ...]:
+    def _present(self, now: float) -> tuple[PeerState, ...]:
         return self._beliefs.fellows.present(now)
 
     def _watch_hubs(self, roles: Roles, now: float) -> None:
         fellows = self._beliefs.fellows
         if roles.mesh:
             self._hub_watch.reset()
-            fellows.silent_s, fellows.blind_since = SILENT_S, {}
+            fellows.silent_s, fellows.blind_since = SILENCE_TIMEOUT_S, {}
             return
-        for hub in self._hub_watch.overdue(now):
+        for hub in self._hub_watch.take_overdue(now):
             events.HUB_PASSED_OVER.log(log, vm=hub)
-        fellows.silent_s, fellows.blind_since = HUB_SILENT_S, self._hub_watch.blind_since(now)
+        fellows.silent_s, fellows.blind_since = (
+            HUB_SILENCE_TIMEOUT_S,
+            self._hub_watch.blind_since(now),
+        )
 
     def _take_roles(self, roles: Roles, now: float) -> None:
         settled = self._started is not None and now - self._started >= SETTLE_S
@@ -176,7 +179,7 @@
         if former is None or _duties(former) != _duties(roles):
             events.ROLES.log(log, reads=roles.reads_store, hub=roles.is_hub, mesh=roles.mesh)
 
-    def _say(self, own: FellowState, roles: Roles, now: float) -> None:
+    def _say(self, own: PeerState, roles: Roles, now: float) -> None:
         """Speak to every VM of a small fleet, of a larger one to one hub after the other.
 
         A hub answers whoever has spoken to it. With each word to both hubs a VM at rest
@@ -188,7 +191,7 @@
             return
         self._turns += 1
         hubs = roles.hubs[self._turns % len(roles.hubs) :][:1] if roles.hubs else ()
-        doubtful = self._hub_watch.doubtful(now)
+        doubtful = self._hub_watch.late_hubs(now)
         if doubtful:
             # Both hubs may have died together: whoever would follow them is spoken to before
             # they are given up, else the VMs here hear of nobody for too long.
@@ -196,10 +199,10 @@
             hubs = tuple(dict.fromkeys((*roles.hubs, *others)))
         if self._hub_watch.is_isolated(now):
             # This VM may have been cut off, and passes over hubs that were there all along.
-            hubs = tuple(dict.fromkeys((*hubs, *roles_of(own, self._present(now)).hubs)))
+            hubs = tuple(dict.fromkeys((*hubs, *assign_roles(own, self._present(now)).hubs)))
         for hub in hubs:
             if hub != own.life.name:
-                self._hub_watch.spoke_to(hub, now)
+                self._hub_watch.record_sent(hub, now)
         self._send_to(hubs, own)
 
     def _send_to(self, names: tuple[str, ...], message: object) -> None:
@@ -208,7 +211,7 @@
             if fellow is not None:
                 self._bus.send(fellow.bus, message)
 
-    def _gather(self, own: FellowState, roles: Roles, now: float) -> None:
+    def _gather(self, own: PeerState, roles: Roles, now: float) -> None:
         """Tell whom this VM has heard, if any VM speaks to it, and what hubs elsewhere told."""
         speakers = self._speakers(own, now)
         if not speakers:
@@ -230,26 +233,28 @@
         return [
             digests[number]
             for digests in by_place.values()
-            for number in not_covered([frozenset(digest.heard) for digest in digests])
+            for number in maximal_digests([frozenset(digest.heard) for digest in digests])
         ]
 
-    def _speakers(self, own: FellowState, now: float) -> list[FellowState]:
+    def _speakers(self, own: PeerState, now: float) -> list[PeerState]:
         """Give the VMs of this data centre that speak to this one."""
-        self._direct = {name: at for name, at in self._direct.items() if now - at <= SILENT_S}
+        self._direct = {
+            name: at for name, at in self._direct.items() if now - at <= SILENCE_TIMEOUT_S
+        }
         known = [self._beliefs.fellows.find(name) for name in self._direct]
         return [s for s in known if s is not None and s.data_center == own.data_center]
 
-    def _remote_hubs(self, own: FellowState) -> list[FellowState]:
+    def _remote_hubs(self, own: PeerState) -> list[PeerState]:
         """Give the hubs elsewhere that speak to this VM, so take it for a hub too."""
         known = [self._beliefs.fellows.find(hub) for hub in self._told_by]
         return [s for s in known if s is not None and s.data_center != own.data_center]
 
-    def _digest(self, own: FellowState, speakers: list[FellowState]) -> FellowDigest:
+    def _digest(self, own: PeerState, speakers: list[PeerState]) -> FellowDigest:
         told = [own]
         for number, state in enumerate(speakers):
             # Each VM gets every other digest of a hub, so each state is in two that follow.
             turn = self._rounds // ROUNDS_TOLD
-            repeated = is_repeated(number, speakers=len(speakers), in_round=turn)
+            repeated = repeats_in_round(number, speakers=len(speakers), in_round=turn)
             if repeated or state.life.name in self._fresh:
                 told.append(state)
         return FellowDigest(
@@ -260,20 +265,20 @@
         )
 
     async def _receive_states(self) -> None:
-        async for received in self._bus.subscribe(FellowState):
+        async for received in self._bus.subscribe(PeerState):
             self._take_state(received.message)
 
-    def _take_state(self, state: FellowState) -> None:
+    def _take_state(self, state: PeerState) -> None:
         now = self._timers.now
         former = self._beliefs.fellows.find(state.life.name)
         self._direct[state.life.name] = now
         self._spoke.add(state.life.name)
-        if state.is_news_after(former):
+        if state.is_update_of(former):
             self._fresh[state.life.name] = ROUNDS_TOLD
-        if self._beliefs.fellows.heard(state, now):
+        if self._beliefs.fellows.record_state(state, now):
             self._meet(state, former)
 
-    def _meet(self, state: FellowState, former: FellowState | None) -> None:
+    def _meet(self, state: PeerState, former: PeerState | None) -> None:
         """Answer a VM that is new here; what its former life ran is gone."""
         events.FELLOW_LISTED.log(log, vm=state.life.name, life=str(state.life), state="heard")
         if former is not None and former.life != state.life:
@@ -291,12 +296,12 @@
         now = self._timers.now
         fellows = self._beliefs.fellows
         own = self._own_state()
-        self._hub_watch.heard(sender, now, data_center=digest.data_center)
+        self._hub_watch.record_answer(sender, now, data_center=digest.data_center)
         for state in digest.news:
             former = fellows.find(state.life.name)
-            if fellows.heard(state, now) and former and former.life != state.life:
+            if fellows.record_state(state, now) and former and former.life != state.life:
                 self._tell_lost(state.life.name)
-        if not fellows.seen(digest.heard, now):
+        if not fellows.record_digest(digest.heard, now):
             self._ask_who(digest.hub, now)
         if sender != digest.hub:
             return
@@ -304,7 +309,7 @@
         if self._passes_on(digest, own):
             self._passing[digest.hub] = digest
 
-    def _passes_on(self, digest: FellowDigest, own: FellowState) -> bool:
+    def _passes_on(self, digest: FellowDigest, own: PeerState) -> bool:
         """Tell whether the VMs that speak to this one are to get a hub's digest.
 
         Those of other data centres, which this VM gets for them. And, where this VM takes
@@ -336,7 +341,7 @@
         own, now = self._own_state(), self._timers.now
         fellows = self._beliefs.fellows
         roles = self._roles_now(own, now, self._present(now))
-        told: tuple[FellowState, ...] = fellows.states
+        told: tuple[PeerState, ...] = fellows.states
         if not roles.mesh and not self._speakers(own, now):
             names = (*roles.hubs, *roles.other_hubs)
             told = tuple(state for state in fellows.states if state.life.name in names)
@@ -354,11 +359,11 @@
         fellows = self._beliefs.fellows
         new = [state for state in known.fellows if fellows.find(state.life.name) is None]
         for state in known.fellows:
-            fellows.registered(state, now)
+            fellows.record_registration(state, now)
         if new:
             self._say(own, self._roles_now(own, now, self._present(now)), now)
 
-    def _note_silent(self, present: tuple[FellowState, ...]) -> None:
+    def _note_silent(self, present: tuple[PeerState, ...]) -> None:
         """Log who fell silent or came back, and tell those who counted on the silent ones."""
         known = {state.life.name for state in self._beliefs.fellows.states}
         silent = known - {state.life.name for state in present}
@@ -370,14 +375,14 @@
             self._tell_met(name)
         self._silent = silent
 
-    def _ask_seeds(self, own: FellowState) -> None:
+    def _ask_seeds(self, own: PeerState) -> None:
         """Make this VM known to the seeds until it knows somebody who lives."""
         for seed in self._seeds:
             if seed != own.bus:
                 self._bus.send(seed, own)
                 self._bus.send(seed, FellowAsk(reply_to=own.bus))
 
-    def _ask_fellow(self, present: tuple[FellowState, ...], now: float) -> None:
+    def _ask_fellow(self, present: tuple[PeerState, ...], now: float) -> None:
         """Ask one VM after the other who is there, where nobody passes on who lives.
 
         Two VMs that started together may each have asked a seed before it took in the word of
@@ -386,7 +391,7 @@
         few others of a large fleet first took them for all, and no hub heard of it for 1.8 s.
         """
         started = self._started if self._started is not None else now
-        every_s = 0.0 if now - started <= KNOWN_AFTER_S else ASK_FELLOW_EVERY_S
+        every_s = 0.0 if now - started <= DISCOVERY_S else ASK_FELLOW_EVERY_S
         if now - self._asked_fellow_at < every_s:
             return
         fellow = present[self._asked_fellows % len(present)]
--- a/lagoonlever/gateway/room_asker.py
+++ b/lagoonlever/gateway/room_asker.py
@@ -17,7 +17,10 @@
 
 from lagoonlever.decisions.admission.room import RefusedWithReturn
 from lagoonlever.decisions.admission.room_line import PlaceInLine
-from lagoonlever.decisions.fleet.line_keepers import NEXT_ASKED, line_keepers
+from lagoonlever.decisions.fleet.queue_coordinators import (
+    MAX_COORDINATORS_ASKED,
+    queue_coordinators,
+)
 from lagoonlever.decisions.fleet.roles import Roles
 from lagoonlever.decisions.settings.configuration import Configuration, RouteKind
 from lagoonlever.decisions.settings.load_parts import has_ranks
@@ -91,7 +94,7 @@
     async def place(self, ask: RunAsk, need: LineNeed) -> LineOutcome | None:
         """Wait for a place, or a refusal; None where nobody keeps the line."""
         began = self._timers.now
-        for _ in range(NEXT_ASKED):
+        for _ in range(MAX_COORDINATORS_ASKED):
             while (keeper := self._keeper(ask.service)) is not None:
                 waited_s = self._timers.now - began
                 question = _Question(ask=ask, need=_later(need, waited_s), keeper=keeper)
@@ -160,8 +163,12 @@
             return None
         present = self._beliefs.fellows.present(self._timers.now)
         leaving = self._leaving()
-        keepers = line_keepers(service, roles=roles, own=self._vm, leaving=leaving, present=present)
-        return next((vm for vm in keepers[: NEXT_ASKED + 1] if not self._is_silent(vm)), None)
+        keepers = queue_coordinators(
+            service, roles=roles, own=self._vm, leaving=leaving, present=present
+        )
+        return next(
+            (vm for vm in keepers[: MAX_COORDINATORS_ASKED + 1] if not self._is_silent(vm)), None
+        )
 
     def _is_silent(self, vm: str) -> bool:
         return self._silent_until.get(vm, 0.0) > self._timers.now
--- a/lagoonlever/gateway/run_relay.py
+++ b/lagoonlever/gateway/run_relay.py
@@ -22,9 +22,9 @@
 import trio
 
 from lagoonlever.codec import UnknownMessage
-from lagoonlever.decisions.fleet.fellows import FellowState
-from lagoonlever.decisions.fleet.news_paths import concerned_by_losses, tells_directly
+from lagoonlever.decisions.fleet.peer_table import PeerState
 from lagoonlever.decisions.fleet.roles import Roles
+from lagoonlever.decisions.fleet.update_routing import sends_directly, vms_affected_by_losses
 from lagoonlever.decisions.streams.booked_runs import BookedRun
 from lagoonlever.gateway import events
 from lagoonlever.gateway.beliefs import Beliefs
@@ -86,7 +86,7 @@
     def tell(self, change: RunChange) -> None:
         """Tell those that are to know of a change of this VM."""
         present = self._beliefs.fellows.present(self._timers.now)
-        hub = None if tells_directly(len(present)) else self._hub()
+        hub = None if sends_directly(len(present)) else self._hub()
         if hub is None:
             self._beliefs.book.news_s = DIRECT_NEWS_S
             self._bus.send_to_all((fellow.bus for fellow in present), change)
@@ -157,24 +157,24 @@
             lost: list[RunChange] = [c for c in near if isinstance(c, EngineLost)]
             self._send(NewsStage.TELL, lost, self._concerned(lost, by_name, hubs))
 
-    def _send(self, stage: NewsStage, changes: list[RunChange], to: list[FellowState]) -> None:
+    def _send(self, stage: NewsStage, changes: list[RunChange], to: list[PeerState]) -> None:
         if changes and to:
             self._bus.send_to_all([state.bus for state in to], _packed(stage, changes))
 
-    def _near_hubs(self, present: dict[str, FellowState]) -> list[FellowState]:
+    def _near_hubs(self, present: dict[str, PeerState]) -> list[PeerState]:
         """Give the other hubs of this data centre."""
         roles = self._roles.value
         names = roles.hubs if roles is not None else ()
         return [present[name] for name in names if name in present]
 
     def _concerned(
-        self, lost: list[RunChange], present: dict[str, FellowState], told: list[FellowState]
-    ) -> list[FellowState]:
+        self, lost: list[RunChange], present: dict[str, PeerState], told: list[PeerState]
+    ) -> list[PeerState]:
         """Give the VMs of this data centre that are to hear of lost engines, but for ``told``."""
         engines = {change.engine for change in lost if isinstance(change, EngineLost)}
         if not engines:
             return []
-        names = concerned_by_losses(
+        names = vms_affected_by_losses(
             engines, self._beliefs.book.open_runs, data_center_of=self._data_center_of
         )
         found = [present[name] for name in names if name in present]
@@ -184,10 +184,10 @@
         target = self._beliefs.targets.find(engine)
         return target.data_center if target is not None else None
 
-    def _far_hubs(self, present: dict[str, FellowState]) -> list[FellowState]:
+    def _far_hubs(self, present: dict[str, PeerState]) -> list[PeerState]:
         """Give one hub of each other data centre, the first that is not silent."""
         roles = self._roles.value
-        chosen: dict[str, FellowState] = {}
+        chosen: dict[str, PeerState] = {}
         for name in roles.other_hubs if roles is not None else ():
             state = present.get(name)
             if state is not None:
--- a/lagoonlever/tests/fellows_tests.py
+++ b/lagoonlever/tests/fellows_tests.py
@@ -7,16 +7,16 @@
 import attrs
 import pytest
 
-from lagoonlever.decisions.fleet.fellows import (
+from lagoonlever.decisions.fleet.peer_table import (
+    DISCOVERY_S,
     FLEET_AT_START,
     FORGET_S,
-    KNOWN_AFTER_S,
     NEWS_ROUNDS,
     REPEATED_MOST,
-    SILENT_S,
-    FellowState,
-    FellowTable,
-    is_repeated,
+    SILENCE_TIMEOUT_S,
+    PeerState,
+    PeerTable,
+    repeats_in_round,
 )
 from lagoonlever.http.messages import Address
 from lagoonlever.identity import Incarnation
@@ -24,8 +24,8 @@
 OWN = Incarnation(name="vm-0", started_ms=1, nonce=0)
 
 
-def state(name: str = "vm-1", *, started_ms: int = 1, **more: object) -> FellowState:
-    made = FellowState(
+def state(name: str = "vm-1", *, started_ms: int = 1, **more: object) -> PeerState:
+    made = PeerState(
         life=Incarnation(name=name, started_ms=started_ms, nonce=7),
         data_center="a",
         callers=Address(host="10.0.0.1", port=80),
@@ -34,53 +34,53 @@
     return attrs.evolve(made, **more)
 
 
-def names(table: FellowTable, now: float) -> list[str]:
-    return [each.life.name for each in table.offered(now)]
+def names(table: PeerTable, now: float) -> list[str]:
+    return [each.life.name for each in table.accepting_callers(now)]
 
 
 def test_a_vm_that_falls_silent_is_left_out_and_comes_back() -> None:
-    table = FellowTable(own=OWN)
-    table.heard(state(), 0.0)
+    table = PeerTable(own=OWN)
+    table.record_state(state(), 0.0)
     assert names(table, 0.5) == ["vm-1"]
-    assert names(table, SILENT_S + 0.1) == []
-    table.heard(state(), 5.0)
+    assert names(table, SILENCE_TIMEOUT_S + 0.1) == []
+    table.record_state(state(), 5.0)
     assert names(table, 5.1) == ["vm-1"]
 
 
 def test_a_registered_vm_that_says_nothing_is_left_out() -> None:
     """A VM lost power; its entry in the register outlives it by the life of a lease."""
-    table = FellowTable(own=OWN)
-    table.registered(state(), 0.0)
+    table = PeerTable(own=OWN)
+    table.record_registration(state(), 0.0)
     assert names(table, 0.1) == ["vm-1"]
-    assert names(table, SILENT_S + 0.1) == []
+    assert names(table, SILENCE_TIMEOUT_S + 0.1) == []
 
 
 def test_a_leaving_vm_is_left_out_at_its_word() -> None:
-    table = FellowTable(own=OWN)
-    table.heard(state(), 0.0)
-    table.heard(state(leaving=True), 0.1)
+    table = PeerTable(own=OWN)
+    table.record_state(state(), 0.0)
+    table.record_state(state(leaving=True), 0.1)
     assert names(table, 0.2) == []
 
 
 def test_a_new_life_replaces_the_former_one_and_not_the_other_way() -> None:
-    table = FellowTable(own=OWN)
-    table.heard(state(started_ms=1), 0.0)
-    assert table.heard(state(started_ms=2), 0.1)
-    assert not table.heard(state(started_ms=1, leaving=True), 0.2)
-    table.registered(state(started_ms=1), 0.3)
-    assert [each.life.started_ms for each in table.offered(0.3)] == [2]
+    table = PeerTable(own=OWN)
+    table.record_state(state(started_ms=1), 0.0)
+    assert table.record_state(state(started_ms=2), 0.1)
+    assert not table.record_state(state(started_ms=1, leaving=True), 0.2)
+    table.record_registration(state(started_ms=1), 0.3)
+    assert [each.life.started_ms for each in table.accepting_callers(0.3)] == [2]
 
 
 def test_a_vm_does_not_list_itself() -> None:
-    table = FellowTable(own=OWN)
-    table.heard(state("vm-0"), 0.0)
-    table.registered(state("vm-0"), 0.0)
+    table = PeerTable(own=OWN)
+    table.record_state(state("vm-0"), 0.0)
+    table.record_registration(state("vm-0"), 0.0)
     assert table.states == ()
 
 
 def test_a_vm_that_was_silent_for_long_is_forgotten() -> None:
-    table = FellowTable(own=OWN)
-    table.heard(state(), 0.0)
+    table = PeerTable(own=OWN)
+    table.record_state(state(), 0.0)
     table.expire(FORGET_S + 1.0)
     assert table.states == ()
 
@@ -91,11 +91,13 @@
     By the time of day its new life began before the former one. Ignored for as long as the
     former one was remembered, it got no callers and no changes for half a minute.
     """
-    table = FellowTable(own=OWN)
-    table.heard(state(started_ms=5_000), 0.0)
-    assert not table.heard(state(started_ms=4_000), 0.5)
-    assert table.heard(state(started_ms=4_000), SILENT_S + 0.1)
-    assert [each.life.started_ms for each in table.offered(SILENT_S + 0.1)] == [4_000]
+    table = PeerTable(own=OWN)
+    table.record_state(state(started_ms=5_000), 0.0)
+    assert not table.record_state(state(started_ms=4_000), 0.5)
+    assert table.record_state(state(started_ms=4_000), SILENCE_TIMEOUT_S + 0.1)
+    assert [each.life.started_ms for each in table.accepting_callers(SILENCE_TIMEOUT_S + 0.1)] == [
+        4_000
+    ]
 
 
 def test_a_vm_that_has_just_started_does_not_take_those_it_knows_for_all() -> None:
@@ -104,11 +106,11 @@
     Each would take the whole fleet's slack of repeats for its own, and the application
     runners would get 69 times what they may.
     """
-    table = FellowTable(own=OWN)
+    table = PeerTable(own=OWN)
     table.started_at = 10.0
-    assert table.at_most(10.5) == FLEET_AT_START
-    table.heard(state(), 10.6)
-    assert table.at_most(10.0 + KNOWN_AFTER_S) == 2
+    assert table.max_fleet_size(10.5) == FLEET_AT_START
+    table.record_state(state(), 10.6)
+    assert table.max_fleet_size(10.0 + DISCOVERY_S) == 2
 
 
 @pytest.mark.parametrize("count", [1, 23, 100, 400])
@@ -120,7 +122,11 @@
     """
     rounds = max(NEWS_ROUNDS, math.ceil(count / REPEATED_MOST))
     told = [
-        [number for number in range(count) if is_repeated(number, speakers=count, in_round=each)]
+        [
+            number
+            for number in range(count)
+            if repeats_in_round(number, speakers=count, in_round=each)
+        ]
         for each in range(rounds)
     ]
     assert max(len(states) for states in told) <= max(REPEATED_MOST, math.ceil(count / rounds))
--- a/lagoonlever/tests/roles_tests.py
+++ b/lagoonlever/tests/roles_tests.py
@@ -2,17 +2,22 @@
 
 from __future__ import annotations
 
-from lagoonlever.decisions.fleet.fellows import FellowState
-from lagoonlever.decisions.fleet.roles import HUBS, LEAST_READERS, MESH_MOST, roles_of
+from lagoonlever.decisions.fleet.peer_table import PeerState
+from lagoonlever.decisions.fleet.roles import (
+    HUBS_PER_DATA_CENTER,
+    MAX_MESH_VMS,
+    MIN_READERS,
+    assign_roles,
+)
 from lagoonlever.http.messages import Address
 from lagoonlever.identity import Incarnation
 
 PLACES = ("a", "b", "c")
 
 
-def fleet(count: int, *, wide: int = 0, away: frozenset[int] = frozenset()) -> list[FellowState]:
+def fleet(count: int, *, wide: int = 0, away: frozenset[int] = frozenset()) -> list[PeerState]:
     return [
-        FellowState(
+        PeerState(
             life=Incarnation(name=f"vm-{number}", started_ms=1, nonce=number),
             data_center=PLACES[number % 3],
             callers=Address(host=f"10.0.0.{number}", port=1),
@@ -24,15 +29,17 @@
     ]
 
 
-def readers(states: list[FellowState]) -> set[str]:
-    return {s.life.name for s in states if roles_of(s, [o for o in states if o != s]).reads_store}
+def readers(states: list[PeerState]) -> set[str]:
+    return {
+        s.life.name for s in states if assign_roles(s, [o for o in states if o != s]).reads_store
+    }
 
 
 def test_views_that_agree_give_the_same_roles() -> None:
     states = fleet(69)
-    assert len(readers(states)) == LEAST_READERS
-    hubs = {roles_of(s, [o for o in states if o != s]).hubs for s in states}
-    assert len(hubs) == len(PLACES) and all(len(each) == HUBS for each in hubs)
+    assert len(readers(states)) == MIN_READERS
+    hubs = {assign_roles(s, [o for o in states if o != s]).hubs for s in states}
+    assert len(hubs) == len(PLACES) and all(len(each) == HUBS_PER_DATA_CENTER for each in hubs)
 
 
 def test_wide_links_go_first() -> None:
@@ -53,16 +60,16 @@
 def test_an_isolated_vm_reads_and_a_failed_hub_is_not_chosen() -> None:
     states = fleet(30)
     own, others = states[20], [s for s in states if s is not states[20]]
-    usual = roles_of(own, others)
+    usual = assign_roles(own, others)
     assert not usual.reads_store
-    assert roles_of(own, others, isolated=True).reads_store
-    assert usual.hubs[0] not in roles_of(own, others, failed=frozenset(usual.hubs[:1])).hubs
+    assert assign_roles(own, others, isolated=True).reads_store
+    assert usual.hubs[0] not in assign_roles(own, others, failed=frozenset(usual.hubs[:1])).hubs
 
 
 def test_a_small_fleet_is_a_mesh() -> None:
-    states = fleet(MESH_MOST + 1)
-    assert not roles_of(states[0], states[1:]).mesh
-    assert roles_of(states[0], states[1:MESH_MOST]).mesh
+    states = fleet(MAX_MESH_VMS + 1)
+    assert not assign_roles(states[0], states[1:]).mesh
+    assert assign_roles(states[0], states[1:MAX_MESH_VMS]).mesh
 
 
 def test_readers_that_are_turned_away_together_are_no_outage() -> None:
@@ -77,4 +84,4 @@
         assert tried
         assert not {int(name.removeprefix("vm-")) for name in tried} & turned_away
         turned_away |= {int(name.removeprefix("vm-")) for name in tried}
-    assert len(turned_away) > 2 * LEAST_READERS
+    assert len(turned_away) > 2 * MIN_READERS
