--- a/lagoonlever/bench/stream_day_model.py
+++ b/lagoonlever/bench/stream_day_model.py
@@ -28,7 +28,13 @@
 from lagoonlever.decisions.engines.engine_book import EngineBook
 from lagoonlever.decisions.settings.configuration import EngineLimits
 from lagoonlever.decisions.streams.booked_runs import BookedRun, RunCopy
-from lagoonlever.decisions.streams.life import GiveUp, Place, ResumeFrom, StreamLife, WaitForEngine
+from lagoonlever.decisions.streams.life import (
+    GiveUp,
+    Place,
+    ResumeFrom,
+    StreamLifecycle,
+    WaitForEngine,
+)
 from lagoonlever.decisions.targets.listed_target import ListedTarget
 from lagoonlever.http.messages import Address
 
@@ -383,8 +389,8 @@
         )
 
 
-def _new_life(position: int | None, prefer: str | None = None) -> StreamLife:
-    return StreamLife.returning(
+def _new_life(position: int | None, prefer: str | None = None) -> StreamLifecycle:
+    return StreamLifecycle.returning(
         repeatable=True,
         max_attempts=MAX_ATTEMPTS,
         position=position,
--- a/lagoonlever/bench/stream_day_types.py
+++ b/lagoonlever/bench/stream_day_types.py
@@ -8,7 +8,7 @@
 from lagoonlever.config.options import option
 from lagoonlever.decisions.engines.engine_book import COPIES_MOST
 from lagoonlever.decisions.streams.booked_runs import RunCopy
-from lagoonlever.decisions.streams.life import StreamLife
+from lagoonlever.decisions.streams.life import StreamLifecycle
 
 MOST_EVENTS = 190
 """What callers announce as the longest answer."""
@@ -81,7 +81,7 @@
     prompt: int
     events: int
     event_tokens: int
-    life: StreamLife
+    life: StreamLifecycle
     attempt: int = 0
     run: ModelRun | None = None
     engine: ModelEngine | None = None
--- a/lagoonlever/decisions/streams/life.py
+++ b/lagoonlever/decisions/streams/life.py
@@ -157,7 +157,7 @@
 
 
 @attrs.define(kw_only=True)
-class StreamLife:
+class StreamLifecycle:
     """State machine of one stream request.
 
     ``position`` is the number of the last event that the caller has received completely.
@@ -206,7 +206,7 @@
         position: int | None,
         copy: RunCopy | None,
         prefer: str | None,
-    ) -> StreamLife:
+    ) -> StreamLifecycle:
         """Create the state of a stream whose caller may have a part of it already.
 
         ``copy`` is a KV-cache copy left by its previous run, and ``prefer`` an engine that
--- a/lagoonlever/gateway/attempt_planner.py
+++ b/lagoonlever/gateway/attempt_planner.py
@@ -8,7 +8,7 @@
 
 from lagoonlever.decisions.admission.room import RefusedWithReturn
 from lagoonlever.decisions.streams.booked_runs import BookedRun, RunCopy
-from lagoonlever.decisions.streams.life import Place, ResumeFrom, StreamLife
+from lagoonlever.decisions.streams.life import Place, ResumeFrom, StreamLifecycle
 from lagoonlever.decisions.streams.run_placement import (
     BudgetSpent,
     NoEngine,
@@ -47,7 +47,7 @@
     _crashes: CrashWatch
 
     async def plan(
-        self, accepted: Accepted, life: StreamLife, step: Place | ResumeFrom
+        self, accepted: Accepted, life: StreamLifecycle, step: Place | ResumeFrom
     ) -> AttemptPlan | BudgetSpent | Overloaded | RefusedWithReturn | None:
         """Give the attempt, or why there is none; None where the life has another step to try."""
         outcome: RunOutcome | RefusedWithReturn = NoEngine()
@@ -71,7 +71,7 @@
     async def _place(
         self,
         accepted: Accepted,
-        life: StreamLife,
+        life: StreamLifecycle,
         step: Place | ResumeFrom,
         ask: RunAsk,
         gathering: str | None,
@@ -100,7 +100,7 @@
             return None
         return self._crashes.gathering_place(accepted, avoid=ask.avoid)
 
-    def _held(self, accepted: Accepted, life: StreamLife) -> frozenset[str]:
+    def _held(self, accepted: Accepted, life: StreamLifecycle) -> frozenset[str]:
         """Give the engines that take no more for now."""
         serving = self._beliefs.targets.serving(accepted.service)
         return self._words.held(serving, need=stream_need(accepted, life))
@@ -158,7 +158,7 @@
     return accepted.caller.ask or NO_ASK
 
 
-def stream_need(accepted: Accepted, life: StreamLife) -> float:
+def stream_need(accepted: Accepted, life: StreamLifecycle) -> float:
     """Give the permits that must be saved at an engine in need before it gets a stream."""
     return need_of(
         priority=accepted.priority, begun=life.position is not None, first=life.sent == 0
@@ -166,7 +166,7 @@
 
 
 def _run_ask(
-    accepted: Accepted, life: StreamLife, step: Place | ResumeFrom, *, copies: bool
+    accepted: Accepted, life: StreamLifecycle, step: Place | ResumeFrom, *, copies: bool
 ) -> RunAsk:
     """Give what an attempt needs; ``copies`` tells whether engines copy runs as they grow."""
     ask = generation_ask(accepted)
@@ -192,7 +192,7 @@
     )
 
 
-def _line_need(accepted: Accepted, life: StreamLife, now: float) -> LineNeed:
+def _line_need(accepted: Accepted, life: StreamLifecycle, now: float) -> LineNeed:
     return LineNeed(
         rank=accepted.priority,
         waited_s=now - accepted.arrived,
@@ -203,7 +203,9 @@
     )
 
 
-def _tell_no_place(life: StreamLife, step: Place | ResumeFrom, outcome: Placed | NoEngine) -> None:
+def _tell_no_place(
+    life: StreamLifecycle, step: Place | ResumeFrom, outcome: Placed | NoEngine
+) -> None:
     if isinstance(step, ResumeFrom):
         life.copy_unusable()
     elif isinstance(outcome, Placed):
--- a/lagoonlever/gateway/reporter.py
+++ b/lagoonlever/gateway/reporter.py
@@ -5,7 +5,7 @@
 import attrs
 import logbook
 
-from lagoonlever.decisions.streams.life import StreamLife
+from lagoonlever.decisions.streams.life import StreamLifecycle
 from lagoonlever.gateway import events, metrics
 from lagoonlever.gateway.accepted import Accepted
 from lagoonlever.gateway.tally import Tally
@@ -76,7 +76,7 @@
             detail=ending.detail,
         )
 
-    def stream_ended(self, accepted: Accepted, ending: Ending, life: StreamLife) -> None:
+    def stream_ended(self, accepted: Accepted, ending: Ending, life: StreamLifecycle) -> None:
         """Tell of a stream, with what its caller saw of its pace."""
         seconds = self._count(accepted, ending)
         first_at = life.pace.first_at
--- a/lagoonlever/gateway/stream_admission.py
+++ b/lagoonlever/gateway/stream_admission.py
@@ -14,7 +14,7 @@
     GiveUp,
     Place,
     ResumeFrom,
-    StreamLife,
+    StreamLifecycle,
     WaitForEngine,
 )
 from lagoonlever.decisions.streams.run_placement import Overloaded
@@ -42,7 +42,7 @@
     _rng: random.Random
 
     def refusal(
-        self, accepted: Accepted, life: StreamLife, step: Place | ResumeFrom | WaitForEngine
+        self, accepted: Accepted, life: StreamLifecycle, step: Place | ResumeFrom | WaitForEngine
     ) -> GiveUp | None:
         """Give why a step is not taken, or None where it is."""
         if not self._can_end(accepted, life, step):
@@ -56,7 +56,7 @@
         plain=gives(True),
     )
     def _can_end(
-        self, accepted: Accepted, life: StreamLife, step: Place | ResumeFrom | WaitForEngine
+        self, accepted: Accepted, life: StreamLifecycle, step: Place | ResumeFrom | WaitForEngine
     ) -> bool:
         """Tell whether a stream could end in its time on an idle engine."""
         ask = accepted.caller.ask or NO_ASK
--- a/lagoonlever/gateway/stream_attempt.py
+++ b/lagoonlever/gateway/stream_attempt.py
@@ -10,7 +10,7 @@
 from lagoonlever.decisions.engines.engine_rank import rank_at_engine
 from lagoonlever.decisions.engines.engine_reports import is_preempted
 from lagoonlever.decisions.streams.booked_runs import RunCopy
-from lagoonlever.decisions.streams.life import EventVerdict, StreamLife
+from lagoonlever.decisions.streams.life import EventVerdict, StreamLifecycle
 from lagoonlever.decisions.streams.silence import (
     PAUSE_ALLOWED_S,
     Answer,
@@ -74,7 +74,7 @@
     """Runs once; what became of it is told to the life of the stream."""
 
     _accepted: Accepted
-    _life: StreamLife
+    _life: StreamLifecycle
     _plan: AttemptPlan
     _tools: AttemptTools
     _peers: PeerExchange
--- a/lagoonlever/gateway/streams.py
+++ b/lagoonlever/gateway/streams.py
@@ -8,7 +8,7 @@
 
 from lagoonlever.decisions.admission.room import RefusedWithReturn
 from lagoonlever.decisions.streams.booked_runs import BookedRun, RunCopy
-from lagoonlever.decisions.streams.life import GiveUp, StreamLife, WaitForEngine
+from lagoonlever.decisions.streams.life import GiveUp, StreamLifecycle, WaitForEngine
 from lagoonlever.decisions.streams.run_placement import BudgetSpent, Overloaded
 from lagoonlever.gateway import events
 from lagoonlever.gateway.accepted import Accepted
@@ -67,7 +67,7 @@
                 if life.sent:
                     self._peers.end(self._ended_run(accepted, life, whole=whole))
 
-    def _ended_run(self, accepted: Accepted, life: StreamLife, *, whole: bool) -> RunEnded:
+    def _ended_run(self, accepted: Accepted, life: StreamLifecycle, *, whole: bool) -> RunEnded:
         """Give the end of a run, with the pace that its last engine has shown."""
         event_s = life.pace.event_s()
         event_tokens = self._beliefs.engine_limits(accepted.service).event_tokens
@@ -79,13 +79,13 @@
             tokens=(life.position or 0) * event_tokens,
         )
 
-    def _is_gone(self, accepted: Accepted, life: StreamLife) -> bool:
+    def _is_gone(self, accepted: Accepted, life: StreamLifecycle) -> bool:
         if life.whole:
             return False
         self._ended(accepted, life, 0, "caller-gone", life.detail)
         return True
 
-    async def _new_life(self, accepted: Accepted) -> StreamLife:
+    async def _new_life(self, accepted: Accepted) -> StreamLifecycle:
         """Begin a stream; a caller that returns goes on where its last run left a copy."""
         part = generation_ask(accepted).own_part
         copy: RunCopy | None = None
@@ -97,7 +97,7 @@
             if former.run is not None:
                 copy = former.run.copy
                 prefer = former.run.engine if self._is_same_process(former.run) else None
-        return StreamLife.returning(
+        return StreamLifecycle.returning(
             repeatable=accepted.route.repeatable,
             max_attempts=accepted.route.max_attempts,
             position=accepted.caller.last_event_id,
@@ -110,7 +110,7 @@
         engine = self._beliefs.targets.find(run.engine)
         return engine is not None and not engine.is_later_than(run.engine_started_ms)
 
-    async def _serve(self, accepted: Accepted, life: StreamLife) -> None:
+    async def _serve(self, accepted: Accepted, life: StreamLifecycle) -> None:
         gave_up: GiveUp | None = None
         with trio.move_on_at(accepted.deadline):
             gave_up = await self._steps(accepted, life)
@@ -124,7 +124,7 @@
         self._ended(accepted, life, int(outcome.status), outcome.tag.value, outcome.message)
         await tell(accepted.exchange, outcome)
 
-    async def _steps(self, accepted: Accepted, life: StreamLife) -> GiveUp | None:
+    async def _steps(self, accepted: Accepted, life: StreamLifecycle) -> GiveUp | None:
         while not life.whole:
             step = life.next_step()
             if isinstance(step, GiveUp):
@@ -166,7 +166,7 @@
         return None
 
     def _outcome(
-        self, accepted: Accepted, life: StreamLife, gave_up: GiveUp | None
+        self, accepted: Accepted, life: StreamLifecycle, gave_up: GiveUp | None
     ) -> NotRun | Unknown:
         if gave_up is None and life.runs:
             return Unknown(reason=Reason.DEADLINE, message=life.detail or "time is over")
@@ -178,7 +178,7 @@
         return NotRun(reason=Reason.NO_TARGET, message=detail, retry_after_s=told_s or COME_BACK_S)
 
     def _ended(
-        self, accepted: Accepted, life: StreamLife, status: int, outcome: str, detail: str
+        self, accepted: Accepted, life: StreamLifecycle, status: int, outcome: str, detail: str
     ) -> None:
         ending = Ending(status=status, outcome=outcome, detail=detail)
         self._tools.reporter.stream_ended(accepted, ending, life)
--- a/lagoonlever/tests/stream_life_tests.py
+++ b/lagoonlever/tests/stream_life_tests.py
@@ -14,7 +14,7 @@
     GiveUp,
     Place,
     ResumeFrom,
-    StreamLife,
+    StreamLifecycle,
     WaitForEngine,
 )
 from lagoonlever.http.messages import Address
@@ -37,7 +37,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.life = StreamLife(repeatable=self.repeatable, max_attempts=MAX_ATTEMPTS)
+        self.life = StreamLifecycle(repeatable=self.repeatable, max_attempts=MAX_ATTEMPTS)
         self.engine: str | None = None
         self.copy: RunCopy | None = None
         self.flowing = False
@@ -140,14 +140,14 @@
 
 def test_a_copy_is_used_only_after_the_first_event() -> None:
     """An engine makes no copy before a run's first event, so a resume from it is refused."""
-    life = StreamLife(repeatable=True, max_attempts=5)
+    life = StreamLifecycle(repeatable=True, max_attempts=5)
     life.was_sent(copy=copy_at("e2"))
     life.lost("e1", "broke")
     assert isinstance(life.next_step(), Place)
 
 
 def test_a_live_engine_that_lost_a_response_is_preferred_only_once() -> None:
-    life = StreamLife(repeatable=True, max_attempts=5)
+    life = StreamLifecycle(repeatable=True, max_attempts=5)
     life.was_sent(copy=None)
     life.lost("e1", "reset", alive=True, read=True)
     first = life.next_step()
@@ -164,7 +164,7 @@
     Connections to them are refused within milliseconds. Counted as refusals, a dozen of them
     made the stream fail although all engines of the other data centres were free.
     """
-    life = StreamLife(repeatable=True, max_attempts=MAX_ATTEMPTS)
+    life = StreamLifecycle(repeatable=True, max_attempts=MAX_ATTEMPTS)
     for number in range(19):
         assert isinstance(life.next_step(), Place)
         life.unreachable(f"dead-{number}", "connection refused")
@@ -173,7 +173,7 @@
 
 def test_dead_engines_are_retried_a_few_times_with_pauses() -> None:
     """Without pauses a stream would retry dead engines in a busy loop and load its VM."""
-    life = StreamLife(repeatable=True, max_attempts=MAX_ATTEMPTS)
+    life = StreamLifecycle(repeatable=True, max_attempts=MAX_ATTEMPTS)
     pauses = 0
     while not isinstance(step := life.next_step(), GiveUp):
         if isinstance(step, WaitForEngine):
