--- a/lagoonlever/decisions/streams/generation.py
+++ b/lagoonlever/decisions/streams/generation.py
@@ -67,7 +67,7 @@
     """Whether the engine's first chunk has arrived."""
 
 
-class GenerationLife:
+class GenerationLifecycle:
     """State machine of one generation request.
 
     Each method applies one message or event and returns the decisions that follow from it.
--- a/lagoonlever/entry/generations/generations.py
+++ b/lagoonlever/entry/generations/generations.py
@@ -11,7 +11,7 @@
 import trio
 
 from lagoonlever.config.options import option
-from lagoonlever.decisions.streams.generation import GenerationLife
+from lagoonlever.decisions.streams.generation import GenerationLifecycle
 from lagoonlever.decisions.streams.generation_messages import (
     GenerationLimits,
     GenerationSpec,
@@ -253,7 +253,7 @@
         options = self._callers.settings_of(spec.organisation)
         allowed_s = options.deadline_s
         spec = attrs.evolve(spec, deadline_s=min(allowed_s, spec.deadline_s or allowed_s))
-        life = GenerationLife(
+        life = GenerationLifecycle(
             spec=spec,
             limits=GenerationLimits(attempts=self._settings.attempts),
             rng=self._rng,
--- a/lagoonlever/entry/generations/task.py
+++ b/lagoonlever/entry/generations/task.py
@@ -8,7 +8,7 @@
 import logbook
 import trio
 
-from lagoonlever.decisions.streams.generation import GenerationLife
+from lagoonlever.decisions.streams.generation import GenerationLifecycle
 from lagoonlever.decisions.streams.generation_messages import (
     BreakCause,
     CancelAttempt,
@@ -54,7 +54,7 @@
 class GenerationTask:
     """Runs one request to its end, whether or not its caller is there."""
 
-    _life: GenerationLife
+    _life: GenerationLifecycle
     _engines: Engines
     _hedges: bool = True
     """Whether to begin elsewhere at the first suspicion."""
@@ -74,7 +74,7 @@
     ended_at: float | None = None
 
     @property
-    def life(self) -> GenerationLife:
+    def life(self) -> GenerationLifecycle:
         """The state, for reading only."""
         return self._life
 
--- a/lagoonlever/tests/caller_stream_tests.py
+++ b/lagoonlever/tests/caller_stream_tests.py
@@ -8,7 +8,7 @@
 import trio
 
 from lagoonlever.decisions.streams.answer import Answer
-from lagoonlever.decisions.streams.generation import GenerationLife
+from lagoonlever.decisions.streams.generation import GenerationLifecycle
 from lagoonlever.decisions.streams.generation_messages import (
     Dispatch,
     GenerationLimits,
@@ -28,7 +28,7 @@
 class Task:
     """A generation's task whose engine sends while a write to the caller waits."""
 
-    life: GenerationLife
+    life: GenerationLifecycle
     attempt: int = 0
     reader: object | None = None
     let_go: bool = False
@@ -81,7 +81,7 @@
     The write of one token waits for the caller. Meanwhile the engine sends the
     rest and the end. The stream saw the end and closed, and never wrote the rest.
     """
-    life = GenerationLife(spec=SPEC, limits=GenerationLimits(), rng=random.Random(1))
+    life = GenerationLifecycle(spec=SPEC, limits=GenerationLimits(), rng=random.Random(1))
     task = Task(life=life)
     dispatch = life.start()[0]
     assert isinstance(dispatch, Dispatch)
@@ -130,7 +130,7 @@
 
 def come_back_with_another_answer(*, accepts_restart: bool) -> PlainExchange:
     spec = attrs.evolve(SPEC, accepts_restart=accepts_restart)
-    life = GenerationLife(spec=spec, limits=GenerationLimits(), rng=random.Random(1))
+    life = GenerationLifecycle(spec=spec, limits=GenerationLimits(), rng=random.Random(1))
     task = Task(life=life)
     dispatch = life.start()[0]
     assert isinstance(dispatch, Dispatch)
@@ -180,7 +180,7 @@
     What the caller holds is the beginning of this very answer. Telling it to start
     over would show it words that vanish and come again.
     """
-    life = GenerationLife(spec=SPEC, limits=GenerationLimits(), rng=random.Random(1))
+    life = GenerationLifecycle(spec=SPEC, limits=GenerationLimits(), rng=random.Random(1))
     task = Task(life=life)
     dispatch = life.start()[0]
     assert isinstance(dispatch, Dispatch)
--- a/lagoonlever/tests/chunk_reader_tests.py
+++ b/lagoonlever/tests/chunk_reader_tests.py
@@ -7,7 +7,7 @@
 import pytest
 import trio
 
-from lagoonlever.decisions.streams.generation import GenerationLife
+from lagoonlever.decisions.streams.generation import GenerationLifecycle
 from lagoonlever.decisions.streams.generation_messages import (
     Dispatch,
     GenerationLimits,
@@ -59,7 +59,7 @@
 
     def attempt(address: Address) -> EngineAttempt:
         spec = GenerationSpec(request_id="r", organisation="/", model="m", prompt="p", max_tokens=4)
-        life = GenerationLife(spec=spec, limits=GenerationLimits(), rng=random.Random(1))
+        life = GenerationLifecycle(spec=spec, limits=GenerationLimits(), rng=random.Random(1))
         (dispatch,) = life.start()
         assert isinstance(dispatch, Dispatch)
         return EngineAttempt(
--- a/lagoonlever/tests/faulty_requests_tests.py
+++ b/lagoonlever/tests/faulty_requests_tests.py
@@ -7,7 +7,7 @@
 import pytest
 import trio
 
-from lagoonlever.decisions.streams.generation import GenerationLife
+from lagoonlever.decisions.streams.generation import GenerationLifecycle
 from lagoonlever.decisions.streams.generation_messages import (
     Dispatch,
     GenerationLimits,
@@ -70,7 +70,7 @@
 
     async def main() -> None:
         spec = GenerationSpec(request_id="r", organisation="/", model="m", prompt="p", max_tokens=4)
-        life = GenerationLife(spec=spec, limits=GenerationLimits(), rng=random.Random(1))
+        life = GenerationLifecycle(spec=spec, limits=GenerationLimits(), rng=random.Random(1))
         task = GenerationTask(life=life, engines=FaultyEngines())  # type: ignore[arg-type]
         async with trio.open_nursery() as nursery:
             nursery.start_soon(task.run)
@@ -112,7 +112,7 @@
     spec = GenerationSpec(
         request_id=str(length), organisation="/", model="m", prompt="p", max_tokens=length
     )
-    life = GenerationLife(spec=spec, limits=GenerationLimits(), rng=random.Random(1))
+    life = GenerationLifecycle(spec=spec, limits=GenerationLimits(), rng=random.Random(1))
     (dispatch,) = life.start()
     assert isinstance(dispatch, Dispatch)
     life.opened(attempt=dispatch.attempt, model_version="v1", prompt_token_ids=(1,))
--- a/lagoonlever/tests/generation_harness.py
+++ b/lagoonlever/tests/generation_harness.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from lagoonlever.decisions.streams.generation import GenerationLife
+from lagoonlever.decisions.streams.generation import GenerationLifecycle
 from lagoonlever.decisions.streams.generation_messages import (
     CancelAttempt,
     Decision,
@@ -37,7 +37,9 @@
     return attrs.evolve(base, **changes)
 
 
-def life(cls: type[GenerationLife] = GenerationLife, **options: object) -> GenerationLife:
+def life(
+    cls: type[GenerationLifecycle] = GenerationLifecycle, **options: object
+) -> GenerationLifecycle:
     defaults = {"spec": spec(), "limits": GenerationLimits(attempts=50), "rng": random.Random(3)}
     return cls(**{**defaults, **options})
 
@@ -68,7 +70,7 @@
         )
         self.decoder = TextDecoder(prompt=start)
 
-    def step(self, life: GenerationLife) -> list[Decision]:
+    def step(self, life: GenerationLifecycle) -> list[Decision]:
         """Pass the next token to the state machine and return its decisions."""
         attempt = self.dispatch.attempt
         decisions: list[Decision] = []
@@ -96,7 +98,7 @@
     So a test can let a cancelled stream send late tokens.
     """
 
-    life: GenerationLife
+    life: GenerationLifecycle
     streams: dict[int, EngineStream] = attrs.field(factory=dict)
     released: list[int] = attrs.field(factory=list)
     restarts: int = 0
--- a/lagoonlever/tests/generation_tests.py
+++ b/lagoonlever/tests/generation_tests.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from lagoonlever.decisions.streams.generation import GenerationLife
+from lagoonlever.decisions.streams.generation import GenerationLifecycle
 from lagoonlever.decisions.streams.generation_messages import (
     BreakCause,
     Decision,
@@ -35,7 +35,7 @@
 )
 
 
-class AcceptsLateTokens(GenerationLife):
+class AcceptsLateTokens(GenerationLifecycle):
     """Fault: tokens of a closed attempt are accepted as those of an open one."""
 
     def chunk(self, *, attempt: int, **values: object) -> list[Decision]:
@@ -45,21 +45,21 @@
         )
 
 
-class DropsPrefix(GenerationLife):
+class DropsPrefix(GenerationLifecycle):
     """Fault: an engine continues from the prompt without the released tokens."""
 
     def _dispatch(self, **options: object) -> Dispatch:
         return attrs.evolve(super()._dispatch(**options), prefix=())
 
 
-class AcceptsAnyVersion(GenerationLife):
+class AcceptsAnyVersion(GenerationLifecycle):
     """Fault: an engine with another model version continues the answer."""
 
     def opened(self, *, model_version: str, **values: object) -> list[Decision]:
         return super().opened(model_version="v1", **values)
 
 
-def released_with_freeze_at(offset: int, cls: type[GenerationLife]) -> list[int]:
+def released_with_freeze_at(offset: int, cls: type[GenerationLifecycle]) -> list[int]:
     """Return the tokens released if an engine freezes at ``offset`` and recovers later.
 
     It sends its late tokens while another engine continues the answer.
@@ -81,7 +81,7 @@
     An engine froze and its stream was continued on another engine. Then it recovered, and its
     late tokens were appended. Only tokens of an open attempt may be released.
     """
-    assert released_with_freeze_at(offset, GenerationLife) == list(expected())
+    assert released_with_freeze_at(offset, GenerationLifecycle) == list(expected())
 
 
 def test_accepting_late_tokens_corrupts_the_answer() -> None:
@@ -94,7 +94,7 @@
     assert broken
 
 
-def released_with_crash_at(offset: int, cls: type[GenerationLife]) -> list[int]:
+def released_with_crash_at(offset: int, cls: type[GenerationLifecycle]) -> list[int]:
     harness = Harness(life(cls)).begin()
     harness.step(harness.newest(), offset)
     attempt = harness.newest().dispatch.attempt
@@ -110,7 +110,7 @@
     The engine crashes after any token, also within a character of several tokens. The next
     engine must continue from exactly the released tokens.
     """
-    assert released_with_crash_at(offset, GenerationLife) == list(expected())
+    assert released_with_crash_at(offset, GenerationLifecycle) == list(expected())
 
 
 def test_continuing_without_the_prefix_corrupts_the_answer() -> None:
@@ -123,7 +123,7 @@
     assert list(expected()) not in outputs
 
 
-def harness_after_version_change(cls: type[GenerationLife]) -> Harness:
+def harness_after_version_change(cls: type[GenerationLifecycle]) -> Harness:
     harness = Harness(life(cls, spec=spec(accepts_restart=True)), versions=["v1", "v2"]).begin()
     harness.step(harness.newest(), 7)
     first = harness.newest().dispatch.attempt
@@ -138,7 +138,7 @@
     The engine crashed during a rollout and the next one runs the new version. Its stream must
     be dropped before its first token; only the same version may continue the answer.
     """
-    harness = harness_after_version_change(GenerationLife)
+    harness = harness_after_version_change(GenerationLifecycle)
     harness.run_out()
     assert harness.released == list(expected())
 
