--- a/lagoonlever/bench/placing_fleet.py
+++ b/lagoonlever/bench/placing_fleet.py
@@ -8,7 +8,7 @@
 
 from lagoonlever.bench.local_fleet import PLACES, Fleet, FleetVm
 from lagoonlever.decisions.settings.configuration import Configuration, EngineLimits, TargetService
-from lagoonlever.decisions.streams.booked_runs import BookedRun, RunCopy
+from lagoonlever.decisions.streams.booked_runs import EngineRun, RunCopy
 from lagoonlever.decisions.streams.run_placement import Placed, RunAsk
 from lagoonlever.decisions.targets.listed_target import ListedTarget
 from lagoonlever.gateway.cache_locator import CacheLocator
@@ -74,13 +74,13 @@
         self.peers.begin(self.booked(request, outcome))
         return outcome
 
-    def booked(self, request: str, placed: Placed) -> BookedRun:
+    def booked(self, request: str, placed: Placed) -> EngineRun:
         """Give a run as its VM tells of it."""
         copy = None
         if placed.copy_to is not None:
             address = Address(host="10.2.0.1", port=1)
             copy = RunCopy(holder=placed.copy_to, address=address, name=request)
-        return BookedRun(
+        return EngineRun(
             request=request,
             vm=self.name,
             engine=placed.engine,
--- a/lagoonlever/bench/stream_day_model.py
+++ b/lagoonlever/bench/stream_day_model.py
@@ -27,7 +27,7 @@
 from lagoonlever.decisions.admission.prompt_admission import admits, come_back_s, most_share
 from lagoonlever.decisions.engines.engine_book import EngineBook
 from lagoonlever.decisions.settings.configuration import EngineLimits
-from lagoonlever.decisions.streams.booked_runs import BookedRun, RunCopy
+from lagoonlever.decisions.streams.booked_runs import EngineRun, RunCopy
 from lagoonlever.decisions.streams.life import (
     GiveUp,
     Place,
@@ -268,7 +268,7 @@
         )
         stream.run, stream.engine, stream.copy = run, engine, copy
         stream.life.was_sent(copy=copy)
-        booked = BookedRun(
+        booked = EngineRun(
             request=stream.request,
             vm="vm",
             engine=engine.id,
--- a/lagoonlever/decisions/engines/engine_book.py
+++ b/lagoonlever/decisions/engines/engine_book.py
@@ -32,7 +32,7 @@
 from lagoonlever.decisions.engines.uneven_engines import UnevenChoice, UnevenEngines
 from lagoonlever.decisions.settings.configuration import EngineLimits
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS, gives
-from lagoonlever.decisions.streams.booked_runs import BookedRun, RunCopy
+from lagoonlever.decisions.streams.booked_runs import EngineRun, RunCopy
 from lagoonlever.decisions.streams.run_records import RunRecord, RunRecords
 from lagoonlever.decisions.targets.listed_target import ListedTarget
 from lagoonlever.decisions.targets.load_view import TargetLoads
@@ -111,11 +111,11 @@
         return UnevenEngines(paces=self.paces, loads=self.loads)
 
     @property
-    def open_runs(self) -> tuple[BookedRun, ...]:
+    def open_runs(self) -> tuple[EngineRun, ...]:
         """Every run that is not known to have ended."""
         return tuple(r.run for r in self._records if r.ended_at is None and r.sent)
 
-    def last_run_of(self, part: str) -> BookedRun | None:
+    def last_run_of(self, part: str) -> EngineRun | None:
         """Give the last run of a prompt's own part that did not end whole, or None."""
         record = self._records.last_of(part)
         if record is None or record.whole:
@@ -277,12 +277,12 @@
         record = self._records.find(request)
         return record.run.vm if record is not None else None
 
-    def run_of(self, request: str) -> BookedRun | None:
+    def run_of(self, request: str) -> EngineRun | None:
         """Give the run of a request as last heard of, or None."""
         record = self._records.find(request)
         return record.run if record is not None else None
 
-    def reserve(self, run: BookedRun, now: float) -> None:
+    def reserve(self, run: EngineRun, now: float) -> None:
         """Keep a place for a run that another VM is about to send.
 
         Those who ask until its VM tells of it are not given the same place. It counts as no
@@ -290,12 +290,12 @@
         """
         self._records.reserve(run, now)
 
-    def begin(self, run: BookedRun, now: float) -> None:
+    def begin(self, run: EngineRun, now: float) -> None:
         """Book a run; one that goes on elsewhere replaces what was booked before."""
         self._reading.given(run.service, tokens=run.prompt_tokens, now=now)
         self._records.enter(run, now)
 
-    def learn(self, run: BookedRun, now: float) -> None:
+    def learn(self, run: EngineRun, now: float) -> None:
         """Book a run that another VM tells of, unless its own VM has told more since.
 
         It began before, so it is no prompt that engines are given now.
@@ -481,7 +481,7 @@
     def _ready_s(
         self,
         engine: ListedTarget,
-        run: BookedRun,
+        run: EngineRun,
         loads: dict[str, EngineLoad],
         limits: EngineLimits,
         now: float,
--- a/lagoonlever/decisions/fleet/update_routing.py
+++ b/lagoonlever/decisions/fleet/update_routing.py
@@ -13,7 +13,7 @@
 
 from lagoonlever.decisions.fleet.peer_table import PeerState
 from lagoonlever.decisions.fleet.roles import Roles
-from lagoonlever.decisions.streams.booked_runs import BookedRun
+from lagoonlever.decisions.streams.booked_runs import EngineRun
 
 MAX_DIRECT_VMS = 120
 """Up to this many VMs each tells all others itself.
@@ -72,7 +72,7 @@
 
 def vms_affected_by_losses(
     lost: Collection[str],
-    runs: Iterable[BookedRun],
+    runs: Iterable[EngineRun],
     *,
     data_center_of: Callable[[str], str | None],
 ) -> frozenset[str]:
--- a/lagoonlever/decisions/streams/booked_runs.py
+++ b/lagoonlever/decisions/streams/booked_runs.py
@@ -30,7 +30,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class BookedRun:
+class EngineRun:
     """One run at an engine; sizes are in tokens."""
 
     request: str
--- a/lagoonlever/decisions/streams/run_placement.py
+++ b/lagoonlever/decisions/streams/run_placement.py
@@ -23,7 +23,7 @@
 from lagoonlever.decisions.engines.engine_book import EngineBook
 from lagoonlever.decisions.engines.uneven_engines import UnevenChoice
 from lagoonlever.decisions.settings.configuration import EngineLimits
-from lagoonlever.decisions.streams.booked_runs import BookedRun
+from lagoonlever.decisions.streams.booked_runs import EngineRun
 from lagoonlever.decisions.targets.listed_target import ListedTarget
 from lagoonlever.decisions.targets.registry import TargetRegistry
 
@@ -162,9 +162,9 @@
     return reading_rate(len(usable), context.book.paces.usual_reading_s(service))
 
 
-def reserved_run(request: RunAsk, placed: Placed, *, vm: str) -> BookedRun:
+def reserved_run(request: RunAsk, placed: Placed, *, vm: str) -> EngineRun:
     """Return the run to reserve a placement for until its VM reports that it was sent."""
-    return BookedRun(
+    return EngineRun(
         request=request.request,
         vm=vm,
         engine=placed.engine,
--- a/lagoonlever/decisions/streams/run_records.py
+++ b/lagoonlever/decisions/streams/run_records.py
@@ -11,7 +11,7 @@
 
 import attrs
 
-from lagoonlever.decisions.streams.booked_runs import BookedRun
+from lagoonlever.decisions.streams.booked_runs import EngineRun
 
 RESERVATION_S = 1.0
 """How long a placement is reserved for a run of another VM.
@@ -24,7 +24,7 @@
 class RunRecord:
     """Latest known state of one run; points in time are seconds of the monotonic clock."""
 
-    run: BookedRun
+    run: EngineRun
     since: float
     """When the run was recorded or its placement reserved."""
     ended_at: float | None = None
@@ -84,13 +84,13 @@
                 by_engine.setdefault(record.run.engine, []).append(record)
         return by_engine
 
-    def enter(self, run: BookedRun, now: float) -> None:
+    def enter(self, run: EngineRun, now: float) -> None:
         """Record a run that was sent to an engine, in place of an earlier one of its request."""
         self._add(run, now)
         if run.part is not None:
             self._request_by_segment[run.part] = run.request
 
-    def reserve(self, run: BookedRun, now: float) -> None:
+    def reserve(self, run: EngineRun, now: float) -> None:
         """Record a reserved placement for a run that another VM is about to send."""
         previous = self._records.get(run.request)
         self._add(run, now).sent = previous is not None and previous.sent
@@ -107,7 +107,7 @@
             if record.is_over(now, keep_s=self._keep_s):
                 self._remove(record)
 
-    def _add(self, run: BookedRun, now: float) -> RunRecord:
+    def _add(self, run: EngineRun, now: float) -> RunRecord:
         """Store a new record, and mark the prefills that it shares its engine with."""
         record = RunRecord(run=run, since=now)
         for other in self.unread_at(run.engine):
--- a/lagoonlever/gateway/attempt_planner.py
+++ b/lagoonlever/gateway/attempt_planner.py
@@ -7,7 +7,7 @@
 import attrs
 
 from lagoonlever.decisions.admission.room import RefusedWithReturn
-from lagoonlever.decisions.streams.booked_runs import BookedRun, RunCopy
+from lagoonlever.decisions.streams.booked_runs import EngineRun, RunCopy
 from lagoonlever.decisions.streams.life import Place, ResumeFrom, StreamLifecycle
 from lagoonlever.decisions.streams.run_placement import (
     BudgetSpent,
@@ -116,7 +116,7 @@
         copy_from = step.copy if isinstance(step, ResumeFrom) else None
         is_read = copy_from is not None or (isinstance(step, Place) and engine.id == step.prefer)
         copy_to = self._beliefs.targets.find(placed.copy_to) if placed.copy_to else None
-        run = BookedRun(
+        run = EngineRun(
             request=accepted.request_id,
             vm=self._vm,
             engine=engine.id,
--- a/lagoonlever/gateway/attempt_tools.py
+++ b/lagoonlever/gateway/attempt_tools.py
@@ -6,7 +6,7 @@
 
 from lagoonlever.decisions.engines.correlated_loss import CorrelatedLoss
 from lagoonlever.decisions.settings.configuration import EngineLimits
-from lagoonlever.decisions.streams.booked_runs import BookedRun, RunCopy
+from lagoonlever.decisions.streams.booked_runs import EngineRun, RunCopy
 from lagoonlever.decisions.streams.silence import StreamSilence
 from lagoonlever.decisions.targets.listed_target import ListedTarget
 from lagoonlever.gateway.beliefs import Beliefs
@@ -28,7 +28,7 @@
     """Where an attempt goes; ``copy_from`` is what it goes on from."""
 
     engine: ListedTarget
-    run: BookedRun
+    run: EngineRun
     copy_to: ListedTarget | None
     copy_from: RunCopy | None
     limits: EngineLimits
--- a/lagoonlever/gateway/copy_keeper.py
+++ b/lagoonlever/gateway/copy_keeper.py
@@ -10,7 +10,7 @@
 
 from lagoonlever.decisions.settings.configuration import EngineLimits
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS, gives
-from lagoonlever.decisions.streams.booked_runs import BookedRun, RunCopy
+from lagoonlever.decisions.streams.booked_runs import EngineRun, RunCopy
 from lagoonlever.decisions.streams.copy_keeping import CHECK_S, CopyKeeping
 from lagoonlever.decisions.streams.run_placement import Placed, RunAsk
 from lagoonlever.decisions.targets.listed_target import ListedTarget
@@ -29,7 +29,7 @@
     """Copies a run anew when the engine that holds its copy is lost or leaves."""
 
     _request: str
-    _run: BookedRun
+    _run: EngineRun
     _engine: ListedTarget
     _limits: EngineLimits
     _beliefs: Beliefs
--- a/lagoonlever/gateway/peers.py
+++ b/lagoonlever/gateway/peers.py
@@ -9,7 +9,7 @@
 
 from lagoonlever.decisions.fleet.roles import Roles
 from lagoonlever.decisions.fleet.update_routing import placement_hubs, sends_directly
-from lagoonlever.decisions.streams.booked_runs import BookedRun, RunCopy
+from lagoonlever.decisions.streams.booked_runs import EngineRun, RunCopy
 from lagoonlever.gateway.beliefs import Beliefs
 from lagoonlever.gateway.learner import Learner
 from lagoonlever.gateway.retry_budgets import RetryBudgets
@@ -67,7 +67,7 @@
             nursery.start_soon(self._receive_lists)
             nursery.start_soon(self._receive_book_asks)
             nursery.start_soon(self._ask_for_book)
-            for message_class in (BookedRun, RunFlows, RunCopied, RunEnded, EngineLost):
+            for message_class in (EngineRun, RunFlows, RunCopied, RunEnded, EngineLost):
                 nursery.start_soon(self._receive, message_class)
             with self._timers.subscribed(self._keep_book, period_s=KEEP_PERIOD_S):
                 await trio.sleep_forever()
@@ -89,7 +89,7 @@
         """Let go of the runs of a VM that is gone."""
         self._beliefs.book.vm_lost(name, self._timers.now)
 
-    def begin(self, run: BookedRun) -> None:
+    def begin(self, run: EngineRun) -> None:
         """Book a run of this VM, and tell the others."""
         self._book(run)
         self._relay.tell(run)
@@ -185,7 +185,7 @@
         book = self._beliefs.book
         if isinstance(change, EngineLost):
             self._take_engine_lost(change, source)
-        elif isinstance(change, BookedRun):
+        elif isinstance(change, EngineRun):
             if change.vm != self._vm:
                 self._book(change)
         elif book.vm_of(change.request) == self._vm:
@@ -218,7 +218,7 @@
             tokens=ended.tokens,
         )
 
-    def _book(self, run: BookedRun) -> None:
+    def _book(self, run: EngineRun) -> None:
         """Book a run, and count it as a request or as a repeat at the service it goes to."""
         now, book = self._timers.now, self._beliefs.book
         engine = self._beliefs.targets.find(run.engine)
--- a/lagoonlever/gateway/streams.py
+++ b/lagoonlever/gateway/streams.py
@@ -7,7 +7,7 @@
 import trio
 
 from lagoonlever.decisions.admission.room import RefusedWithReturn
-from lagoonlever.decisions.streams.booked_runs import BookedRun, RunCopy
+from lagoonlever.decisions.streams.booked_runs import EngineRun, RunCopy
 from lagoonlever.decisions.streams.life import GiveUp, StreamLifecycle, WaitForEngine
 from lagoonlever.decisions.streams.run_placement import BudgetSpent, Overloaded
 from lagoonlever.gateway import events
@@ -105,7 +105,7 @@
             prefer=prefer,
         )
 
-    def _is_same_process(self, run: BookedRun) -> bool:
+    def _is_same_process(self, run: EngineRun) -> bool:
         """Tell whether the engine of a run is still the process that read its prompt."""
         engine = self._beliefs.targets.find(run.engine)
         return engine is not None and not engine.is_later_than(run.engine_started_ms)
--- a/lagoonlever/peers/messages_gateway.py
+++ b/lagoonlever/peers/messages_gateway.py
@@ -11,7 +11,7 @@
 import attrs
 
 from lagoonlever.decisions.fleet.peer_table import PeerState
-from lagoonlever.decisions.streams.booked_runs import BookedRun, RunCopy
+from lagoonlever.decisions.streams.booked_runs import EngineRun, RunCopy
 from lagoonlever.decisions.targets.listed_target import ListedTarget, TargetChange
 from lagoonlever.decisions.targets.load_view import MOMENT_S
 from lagoonlever.decisions.targets.told_load import LoadWord, ToldLoad
@@ -20,7 +20,7 @@
 from lagoonlever.revisions import NOWHERE, Revision
 
 PEER.message("gs")(PeerState)
-PEER.message("gr")(BookedRun)
+PEER.message("gr")(EngineRun)
 
 
 @attrs.frozen(kw_only=True)
@@ -68,7 +68,7 @@
 class RunList:
     """Open runs that the sender knows, of all VMs."""
 
-    runs: tuple[BookedRun, ...]
+    runs: tuple[EngineRun, ...]
 
 
 class EngineWord(NamedTuple):
@@ -94,7 +94,7 @@
             age_ms=round(1000 * max(0.0, now - word.at)),
         )
 
-    def word(self, run: BookedRun, now: float) -> LoadWord:
+    def word(self, run: EngineRun, now: float) -> LoadWord:
         """Give the word of a run's engine, by the clock of the VM that hears of it."""
         load = ToldLoad(
             running=float(self.running),
@@ -163,7 +163,7 @@
     found: str
 
 
-RunChange = BookedRun | RunFlows | RunCopied | RunEnded | EngineLost
+RunChange = EngineRun | RunFlows | RunCopied | RunEnded | EngineLost
 
 
 class NewsStage(enum.Enum):
@@ -183,7 +183,7 @@
     """What became of runs and engines within a moment, on one VM or on many."""
 
     stage: NewsStage
-    runs: tuple[BookedRun, ...] = ()
+    runs: tuple[EngineRun, ...] = ()
     flowing: tuple[RunFlows, ...] = ()
     copied: tuple[RunCopied, ...] = ()
     ended: tuple[RunEnded, ...] = ()
--- a/lagoonlever/peers/messages_placement.py
+++ b/lagoonlever/peers/messages_placement.py
@@ -9,7 +9,7 @@
 import attrs
 
 from lagoonlever.decisions.engines.engine_paces import KeptPace
-from lagoonlever.decisions.streams.booked_runs import BookedRun
+from lagoonlever.decisions.streams.booked_runs import EngineRun
 from lagoonlever.decisions.streams.run_placement import (
     BudgetSpent,
     NoEngine,
@@ -85,7 +85,7 @@
     """The last run that gave an event, or else the engine that keeps most of the prompt."""
 
     number: int
-    run: BookedRun | None = None
+    run: EngineRun | None = None
     kept_at: str | None = None
 
 
--- a/lagoonlever/tests/copy_room_tests.py
+++ b/lagoonlever/tests/copy_room_tests.py
@@ -12,7 +12,7 @@
 from lagoonlever.decisions.engines.engine_book import COPIES_MOST, EngineBook
 from lagoonlever.decisions.settings.configuration import EngineLimits
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS
-from lagoonlever.decisions.streams.booked_runs import BookedRun
+from lagoonlever.decisions.streams.booked_runs import EngineRun
 from lagoonlever.decisions.targets.listed_target import ListedTarget
 from lagoonlever.http.messages import Address
 
@@ -35,7 +35,7 @@
     """Give a book by which each engine has seven runs: one more fits, and leaves little."""
     book = EngineBook(rng=random.Random(1), data_center="a")
     for number, engine in enumerate(listed * 7):
-        run = BookedRun(
+        run = EngineRun(
             request=f"r{number}",
             vm="vm-1",
             engine=engine.id,
--- a/lagoonlever/tests/engine_book_tests.py
+++ b/lagoonlever/tests/engine_book_tests.py
@@ -8,7 +8,7 @@
 
 from lagoonlever.decisions.engines.engine_avoidance import FIRST_AVOID_S
 from lagoonlever.decisions.engines.engine_book import (
-    BookedRun,
+    EngineRun,
     EngineBook,
     RunCopy,
 )
@@ -34,8 +34,8 @@
     return EngineBook(rng=random.Random(seed), data_center=data_center)
 
 
-def run(request: str, at: str, **more: object) -> BookedRun:
-    made = BookedRun(
+def run(request: str, at: str, **more: object) -> EngineRun:
+    made = EngineRun(
         request=request, vm="vm-1", engine=at, prompt_tokens=PROMPT, memory_tokens=MEMORY
     )
     return attrs.evolve(made, **more)
--- a/lagoonlever/tests/engine_paces_tests.py
+++ b/lagoonlever/tests/engine_paces_tests.py
@@ -9,7 +9,7 @@
 
 from lagoonlever.decisions.engines.engine_book import EngineBook
 from lagoonlever.decisions.engines.engine_paces import PRIOR_PROMPT_TOKEN_S, EnginePaces
-from lagoonlever.decisions.streams.booked_runs import BookedRun
+from lagoonlever.decisions.streams.booked_runs import EngineRun
 from lagoonlever.decisions.streams.time import least_time_s
 from lagoonlever.tests.engine_book_tests import ENGINES, LIMITS
 
@@ -99,8 +99,8 @@
     )
 
 
-def run(request: str, engine: str = "e1") -> BookedRun:
-    return BookedRun(
+def run(request: str, engine: str = "e1") -> EngineRun:
+    return EngineRun(
         request=request,
         vm="vm-1",
         engine=engine,
--- a/lagoonlever/tests/gateway_presence_tests.py
+++ b/lagoonlever/tests/gateway_presence_tests.py
@@ -17,7 +17,7 @@
     start_many,
 )
 from lagoonlever.decisions.fleet.update_routing import MAX_DIRECT_VMS
-from lagoonlever.decisions.streams.booked_runs import BookedRun, RunCopy
+from lagoonlever.decisions.streams.booked_runs import EngineRun, RunCopy
 from lagoonlever.decisions.targets.listed_target import ListedTarget
 from lagoonlever.gateway.run_relay import RunRelay
 from lagoonlever.http.messages import Address
@@ -454,10 +454,10 @@
     run_fleet(story)
 
 
-def booked(number: int) -> BookedRun:
+def booked(number: int) -> EngineRun:
     address = Address(host="10.2.64.8", port=8147)
     name = f"{number * 0x9E3779B97F4A7C15 % 2**64:016x}"
-    return BookedRun(
+    return EngineRun(
         request=name,
         vm="vm-50",
         engine=f"i-{name[:10]}",
--- a/lagoonlever/tests/run_placement_tests.py
+++ b/lagoonlever/tests/run_placement_tests.py
@@ -10,7 +10,7 @@
 from lagoonlever.decisions.admission.retry_window import RetryWindow
 from lagoonlever.decisions.engines.engine_book import EngineBook
 from lagoonlever.decisions.settings.configuration import EngineLimits
-from lagoonlever.decisions.streams.booked_runs import BookedRun
+from lagoonlever.decisions.streams.booked_runs import EngineRun
 from lagoonlever.decisions.streams.run_placement import (
     BudgetSpent,
     NoEngine,
@@ -55,7 +55,7 @@
     )
 
 
-def sent_run(request: RunAsk, placed: Placed) -> BookedRun:
+def sent_run(request: RunAsk, placed: Placed) -> EngineRun:
     return attrs.evolve(
         reserved_run(request, placed, vm="vm-1"), prompt_tokens=request.prompt_tokens
     )
--- a/lagoonlever/tests/uneven_engines_tests.py
+++ b/lagoonlever/tests/uneven_engines_tests.py
@@ -17,7 +17,7 @@
 from lagoonlever.decisions.engines.uneven_engines import UnevenEngines
 from lagoonlever.decisions.settings.configuration import EngineLimits
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS
-from lagoonlever.decisions.streams.booked_runs import BookedRun
+from lagoonlever.decisions.streams.booked_runs import EngineRun
 from lagoonlever.decisions.targets.listed_target import ListedTarget
 from lagoonlever.decisions.targets.load_estimate import LoadSource
 from lagoonlever.decisions.targets.load_view import TargetLoads
@@ -100,7 +100,7 @@
         )
         assert placement is not None
         engine = placement.engine.id
-        run = BookedRun(
+        run = EngineRun(
             request=f"r{next(self._numbers)}",
             vm=f"vm-{vm}",
             engine=engine,
@@ -128,7 +128,7 @@
             at += STEP_S
         return at
 
-    def _flow(self, vm: int, run: BookedRun) -> None:
+    def _flow(self, vm: int, run: EngineRun) -> None:
         slowness = self._slowness(run.engine, self._now) if self.tells else None
         load = ToldLoad(running=1.0, waiting=0.0, slots=16.0, slowness=slowness)
         word = LoadWord(target=run.engine, load=load, at=self._now)
@@ -142,7 +142,7 @@
         token_s = (done_at - self._now) / TOKENS
         self._plan(done_at, lambda: self._end(vm, run, token_s))
 
-    def _end(self, vm: int, run: BookedRun, token_s: float) -> None:
+    def _end(self, vm: int, run: EngineRun, token_s: float) -> None:
         def heard(book: EngineBook) -> None:
             book.end(run.request, self._now, whole=True, token_s=token_s, tokens=TOKENS)
 
@@ -206,8 +206,8 @@
     return placement.engine.id
 
 
-def run_at(engine: str) -> BookedRun:
-    return BookedRun(
+def run_at(engine: str) -> EngineRun:
+    return EngineRun(
         request="r",
         vm="vm-1",
         engine=engine,
