--- a/lagoonlever/bench/placing_fleet.py
+++ b/lagoonlever/bench/placing_fleet.py
@@ -9,7 +9,7 @@
 from lagoonlever.bench.local_fleet import PLACES, Fleet, FleetVm
 from lagoonlever.decisions.settings.configuration import Configuration, EngineLimits, TargetService
 from lagoonlever.decisions.streams.booked_runs import EngineRun, RunCopy
-from lagoonlever.decisions.streams.run_placement import Placed, RunAsk
+from lagoonlever.decisions.streams.run_placement import Placed, PlacementRequest
 from lagoonlever.decisions.targets.listed_target import ListedTarget
 from lagoonlever.gateway.cache_locator import CacheLocator
 from lagoonlever.gateway.peers import PeerExchange
@@ -60,7 +60,7 @@
 
     async def place(self, request: str, *, after_loss: bool = False) -> Placed:
         """Place a run and tell of it, as a stream does once it is written."""
-        ask = RunAsk(
+        ask = PlacementRequest(
             request=request,
             service=SERVICE,
             prompt_tokens=PROMPT,
--- a/lagoonlever/decisions/streams/run_placement.py
+++ b/lagoonlever/decisions/streams/run_placement.py
@@ -35,7 +35,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class RunAsk:
+class PlacementRequest:
     """Request to place one attempt of a stream; sizes are in tokens."""
 
     request: str
@@ -127,7 +127,7 @@
     """Whether streams of the service differ in rank."""
 
 
-def place_run(request: RunAsk, context: PlacementView, now: float) -> RunOutcome:
+def place_run(request: PlacementRequest, context: PlacementView, now: float) -> RunOutcome:
     """Place one attempt, or return why it cannot be placed.
 
     ``now`` is in seconds of the monotonic clock.
@@ -142,7 +142,9 @@
     return _place(request, context, now) or NoEngine()
 
 
-def place_where_ready(request: RunAsk, context: PlacementView, now: float) -> RunOutcome | NoRoom:
+def place_where_ready(
+    request: PlacementRequest, context: PlacementView, now: float
+) -> RunOutcome | NoRoom:
     """Place an attempt that can wait in the queue for an engine that starts it soon.
 
     Return `NoRoom` while every engine has more prefill work left than `BEGINS_WITHIN_S`.
@@ -162,7 +164,7 @@
     return reading_rate(len(usable), context.book.paces.usual_reading_s(service))
 
 
-def reserved_run(request: RunAsk, placed: Placed, *, vm: str) -> EngineRun:
+def reserved_run(request: PlacementRequest, placed: Placed, *, vm: str) -> EngineRun:
     """Return the run to reserve a placement for until its VM reports that it was sent."""
     return EngineRun(
         request=request.request,
@@ -176,7 +178,11 @@
 
 
 def _place(
-    request: RunAsk, context: PlacementView, now: float, *, begins_within_s: float | None = None
+    request: PlacementRequest,
+    context: PlacementView,
+    now: float,
+    *,
+    begins_within_s: float | None = None,
 ) -> Placed | None:
     """Choose an engine and the holder of the copy, or return None if no engine qualifies."""
     placement = context.book.place(
@@ -201,7 +207,7 @@
 
 
 def _place_at_settled_engine(
-    request: RunAsk, engine_id: str, context: PlacementView, now: float
+    request: PlacementRequest, engine_id: str, context: PlacementView, now: float
 ) -> RunOutcome:
     """Place a run at the engine that is already decided on, unless that engine is unusable."""
     engine = context.targets.find(engine_id)
@@ -211,7 +217,7 @@
 
 
 def _choose_copy_holder(
-    request: RunAsk, engine: ListedTarget, context: PlacementView, now: float
+    request: PlacementRequest, engine: ListedTarget, context: PlacementView, now: float
 ) -> str | None:
     """Return the id of an engine to hold the copy of a run at ``engine``, or None."""
     if not request.copies:
@@ -227,7 +233,9 @@
     return holder.id if holder is not None else None
 
 
-def _check_overload(request: RunAsk, context: PlacementView, now: float) -> Overloaded | None:
+def _check_overload(
+    request: PlacementRequest, context: PlacementView, now: float
+) -> Overloaded | None:
     """Refuse a new prompt while engines prefill so much that answers cannot finish in time.
 
     The limit follows the time that callers usually allow. When it followed the time left to
--- a/lagoonlever/gateway/attempt_planner.py
+++ b/lagoonlever/gateway/attempt_planner.py
@@ -14,7 +14,7 @@
     NoEngine,
     Overloaded,
     Placed,
-    RunAsk,
+    PlacementRequest,
     RunOutcome,
 )
 from lagoonlever.decisions.targets.limit_permits import need_of
@@ -73,7 +73,7 @@
         accepted: Accepted,
         life: StreamLifecycle,
         step: Place | ResumeFrom,
-        ask: RunAsk,
+        ask: PlacementRequest,
         gathering: str | None,
     ) -> RunOutcome | RefusedWithReturn:
         """Find a place, by the line if the service has one and the prompt is to be read.
@@ -94,7 +94,9 @@
                 return outcome
         return await self._placer.place(ask)
 
-    def _gathering(self, accepted: Accepted, step: Place | ResumeFrom, ask: RunAsk) -> str | None:
+    def _gathering(
+        self, accepted: Accepted, step: Place | ResumeFrom, ask: PlacementRequest
+    ) -> str | None:
         """Give the engine where the returns of a request are together, if it ends engines."""
         if isinstance(step, ResumeFrom):
             return None
@@ -167,11 +169,11 @@
 
 def _run_ask(
     accepted: Accepted, life: StreamLifecycle, step: Place | ResumeFrom, *, copies: bool
-) -> RunAsk:
+) -> PlacementRequest:
     """Give what an attempt needs; ``copies`` tells whether engines copy runs as they grow."""
     ask = generation_ask(accepted)
     is_new = not life.sent and not life.position
-    asked = RunAsk(
+    asked = PlacementRequest(
         request=accepted.request_id,
         service=accepted.service,
         prompt_tokens=ask.prompt_tokens,
--- a/lagoonlever/gateway/copy_keeper.py
+++ b/lagoonlever/gateway/copy_keeper.py
@@ -12,7 +12,7 @@
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS, gives
 from lagoonlever.decisions.streams.booked_runs import EngineRun, RunCopy
 from lagoonlever.decisions.streams.copy_keeping import CHECK_S, CopyKeeping
-from lagoonlever.decisions.streams.run_placement import Placed, RunAsk
+from lagoonlever.decisions.streams.run_placement import Placed, PlacementRequest
 from lagoonlever.decisions.targets.listed_target import ListedTarget
 from lagoonlever.gateway import events, metrics
 from lagoonlever.gateway.beliefs import Beliefs
@@ -117,7 +117,7 @@
         targets = self._beliefs.targets
         if present is not None:
             return targets.find(present)
-        ask = RunAsk(
+        ask = PlacementRequest(
             request=self._request,
             service=self._engine.service,
             prompt_tokens=0,
--- a/lagoonlever/gateway/placer.py
+++ b/lagoonlever/gateway/placer.py
@@ -23,7 +23,7 @@
 from lagoonlever.decisions.streams.run_placement import (
     Placed,
     PlacementView,
-    RunAsk,
+    PlacementRequest,
     RunOutcome,
     place_run,
 )
@@ -80,7 +80,7 @@
             nursery.start_soon(self._questions.receive, PlacementTold)
             nursery.start_soon(self._questions.receive, FormerRunTold)
 
-    async def place(self, ask: RunAsk) -> RunOutcome:
+    async def place(self, ask: PlacementRequest) -> RunOutcome:
         """Decide where an attempt goes, or why it can't go now."""
         outcome = await self._place(ask)
         choice = outcome.choice if isinstance(outcome, Placed) else None
@@ -88,7 +88,7 @@
             _log_choice(ask.request, choice)
         return outcome
 
-    async def _place(self, ask: RunAsk) -> RunOutcome:
+    async def _place(self, ask: PlacementRequest) -> RunOutcome:
         def question(number: int) -> PlacementAsk:
             return PlacementAsk(number=number, reply_to=self._bus.address, ask=ask)
 
--- a/lagoonlever/gateway/room_asker.py
+++ b/lagoonlever/gateway/room_asker.py
@@ -25,7 +25,7 @@
 from lagoonlever.decisions.settings.configuration import Configuration, RouteKind
 from lagoonlever.decisions.settings.load_parts import has_ranks
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS, gives
-from lagoonlever.decisions.streams.run_placement import RunAsk, RunOutcome
+from lagoonlever.decisions.streams.run_placement import PlacementRequest, RunOutcome
 from lagoonlever.gateway import events
 from lagoonlever.gateway.beliefs import Beliefs
 from lagoonlever.gateway.room_desk import RENEW_S, RoomDesk
@@ -91,7 +91,7 @@
         """Tell whether new prompts of a service wait in line."""
         return has_line(self._beliefs.configuration.value, service)
 
-    async def place(self, ask: RunAsk, need: LineNeed) -> LineOutcome | None:
+    async def place(self, ask: PlacementRequest, need: LineNeed) -> LineOutcome | None:
         """Wait for a place, or a refusal; None where nobody keeps the line."""
         began = self._timers.now
         for _ in range(MAX_COORDINATORS_ASKED):
@@ -214,7 +214,7 @@
 class _Question:
     """What is asked of whom; the need is as of when it was first asked."""
 
-    ask: RunAsk
+    ask: PlacementRequest
     need: LineNeed
     keeper: str
 
--- a/lagoonlever/gateway/room_desk.py
+++ b/lagoonlever/gateway/room_desk.py
@@ -25,7 +25,7 @@
     BEGINS_WITHIN_S,
     NoRoom,
     Placed,
-    RunAsk,
+    PlacementRequest,
     RunOutcome,
     place_run,
     place_where_ready,
@@ -189,7 +189,7 @@
         if self._open:
             self._filled.set()
 
-    def _decide(self, ask: RunAsk, line: RoomLine) -> RunOutcome | NoRoom:
+    def _decide(self, ask: PlacementRequest, line: RoomLine) -> RunOutcome | NoRoom:
         # Chance would only part those who do not know of each other: this VM places them all.
         ask, now = attrs.evolve(ask, crowd=False, allowed_s=None), self._timers.now
         view = self._placer.view(ask.service)
--- a/lagoonlever/peers/messages_line.py
+++ b/lagoonlever/peers/messages_line.py
@@ -9,7 +9,7 @@
 import attrs
 
 from lagoonlever.decisions.admission.room import RefusedWithReturn, WaitInLine
-from lagoonlever.decisions.streams.run_placement import RunAsk
+from lagoonlever.decisions.streams.run_placement import PlacementRequest
 from lagoonlever.http.messages import Address
 from lagoonlever.peers.messages import PEER
 from lagoonlever.peers.messages_placement import PlacementTold
@@ -41,7 +41,7 @@
     number: int
     """Of the question, among those of its VM."""
     reply_to: Address
-    ask: RunAsk
+    ask: PlacementRequest
     need: LineNeed
 
 
--- a/lagoonlever/peers/messages_placement.py
+++ b/lagoonlever/peers/messages_placement.py
@@ -15,7 +15,7 @@
     NoEngine,
     Overloaded,
     Placed,
-    RunAsk,
+    PlacementRequest,
     RunOutcome,
 )
 from lagoonlever.http.messages import Address
@@ -30,7 +30,7 @@
     number: int
     """Of the question, among those of its VM."""
     reply_to: Address
-    ask: RunAsk
+    ask: PlacementRequest
 
 
 @PEER.message("pt")
--- a/lagoonlever/tests/placer_tests.py
+++ b/lagoonlever/tests/placer_tests.py
@@ -17,7 +17,7 @@
     chosen_at_random,
     placing_fleet,
 )
-from lagoonlever.decisions.streams.run_placement import BudgetSpent, Placed, RunAsk
+from lagoonlever.decisions.streams.run_placement import BudgetSpent, Placed, PlacementRequest
 from lagoonlever.gateway.placer import ANSWER_S
 from lagoonlever.peers.messages import PEER
 from lagoonlever.peers.messages_gateway import RunEnded, RunList
@@ -157,7 +157,7 @@
         placing = await started(fleet, LARGE)
         asker = plain_vms(placing)[0]
         fleet.cut(asker.name)
-        ask = RunAsk(
+        ask = PlacementRequest(
             request="r", service=SERVICE, prompt_tokens=PROMPT, memory_tokens=MEMORY, repeat=True
         )
         asker.peers.begin(asker.booked("r", await asker.place("r")))
--- a/lagoonlever/tests/room_asker_tests.py
+++ b/lagoonlever/tests/room_asker_tests.py
@@ -21,7 +21,7 @@
     WeightedService,
 )
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS
-from lagoonlever.decisions.streams.run_placement import Placed, RunAsk
+from lagoonlever.decisions.streams.run_placement import Placed, PlacementRequest
 from lagoonlever.gateway.room_asker import has_line
 from lagoonlever.gateway.room_desk import LOOK_S
 from lagoonlever.peers.messages_gateway import RunEnded
@@ -37,8 +37,10 @@
 Story = Callable[["Room"], Awaitable[None]]
 
 
-def ask_of(request: str) -> RunAsk:
-    return RunAsk(request=request, service=SERVICE, prompt_tokens=PROMPT, memory_tokens=MEMORY)
+def ask_of(request: str) -> PlacementRequest:
+    return PlacementRequest(
+        request=request, service=SERVICE, prompt_tokens=PROMPT, memory_tokens=MEMORY
+    )
 
 
 def need(*, rank: int = 2, in_s: float = LONG_S) -> LineNeed:
--- a/lagoonlever/tests/room_line_load_tests.py
+++ b/lagoonlever/tests/room_line_load_tests.py
@@ -12,7 +12,7 @@
 from lagoonlever.bench.local_fleet import Fleet, run_fleet, start_many
 from lagoonlever.bench.placing_fleet import MEMORY, PROMPT, SERVICE, PlacingVm, placing_fleet
 from lagoonlever.decisions.admission.room import RefusedWithReturn
-from lagoonlever.decisions.streams.run_placement import Placed, RunAsk
+from lagoonlever.decisions.streams.run_placement import Placed, PlacementRequest
 from lagoonlever.peers.messages_gateway import RunEnded
 from lagoonlever.peers.messages_line import LineNeed
 
@@ -78,7 +78,7 @@
         arrived, avoid = trio.current_time(), set[str]()
         aim_s = URGENT_S if rank == 0 else PATIENT_S
         while True:
-            ask = RunAsk(
+            ask = PlacementRequest(
                 request=request,
                 service=SERVICE,
                 prompt_tokens=PROMPT,
--- a/lagoonlever/tests/run_placement_tests.py
+++ b/lagoonlever/tests/run_placement_tests.py
@@ -17,7 +17,7 @@
     Overloaded,
     Placed,
     PlacementView,
-    RunAsk,
+    PlacementRequest,
     place_run,
     reserved_run,
 )
@@ -28,7 +28,7 @@
 from lagoonlever.tests.base import at
 
 LIMITS = EngineLimits(slots=12, memory_tokens=55_000, copies=True)
-REQUEST = RunAsk(
+REQUEST = PlacementRequest(
     request="r1", service="engines", prompt_tokens=5_000, memory_tokens=6_000, part="p1"
 )
 
@@ -55,7 +55,7 @@
     )
 
 
-def sent_run(request: RunAsk, placed: Placed) -> EngineRun:
+def sent_run(request: PlacementRequest, placed: Placed) -> EngineRun:
     return attrs.evolve(
         reserved_run(request, placed, vm="vm-1"), prompt_tokens=request.prompt_tokens
     )
