--- a/lagoonlever/decisions/streams/run_placement.py
+++ b/lagoonlever/decisions/streams/run_placement.py
@@ -105,7 +105,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class NoRoom:
+class NoCapacity:
     """Outcome: there are engines, but none of them has the capacity to start the run now."""
 
 
@@ -144,17 +144,17 @@
 
 def place_where_ready(
     request: PlacementRequest, context: PlacementView, now: float
-) -> RunOutcome | NoRoom:
+) -> RunOutcome | NoCapacity:
     """Place an attempt that can wait in the queue for an engine that starts it soon.
 
-    Return `NoRoom` while every engine has more prefill work left than `BEGINS_WITHIN_S`.
+    Return `NoCapacity` while every engine has more prefill work left than `BEGINS_WITHIN_S`.
     """
     if request.repeat and not context.window.allows(now, vms=context.vms):
         return BudgetSpent()
     serving = context.targets.serving(request.service, on_trial=request.on_trial)
     if all(engine.id in request.avoid for engine in serving):
         return NoEngine()
-    return _place(request, context, now, begins_within_s=BEGINS_WITHIN_S) or NoRoom()
+    return _place(request, context, now, begins_within_s=BEGINS_WITHIN_S) or NoCapacity()
 
 
 def ready_rate(service: str, context: PlacementView, now: float) -> float:
--- a/lagoonlever/gateway/room_desk.py
+++ b/lagoonlever/gateway/room_desk.py
@@ -23,7 +23,7 @@
 )
 from lagoonlever.decisions.streams.run_placement import (
     BEGINS_WITHIN_S,
-    NoRoom,
+    NoCapacity,
     Placed,
     PlacementRequest,
     RunOutcome,
@@ -180,7 +180,7 @@
                 self.left(waiting.place, service)
                 continue
             outcome = self._decide(asked.ask, line)
-            if not isinstance(outcome, NoRoom):
+            if not isinstance(outcome, NoCapacity):
                 self._give(waiting, line, outcome)
                 continue
             passed_by += 1
@@ -189,7 +189,7 @@
         if self._open:
             self._filled.set()
 
-    def _decide(self, ask: PlacementRequest, line: RoomLine) -> RunOutcome | NoRoom:
+    def _decide(self, ask: PlacementRequest, line: RoomLine) -> RunOutcome | NoCapacity:
         # Chance would only part those who do not know of each other: this VM places them all.
         ask, now = attrs.evolve(ask, crowd=False, allowed_s=None), self._timers.now
         view = self._placer.view(ask.service)
