--- a/lagoonlever/decisions/streams/run_placement.py
+++ b/lagoonlever/decisions/streams/run_placement.py
@@ -88,7 +88,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class BudgetSpent:
+class RetryBudgetExhausted:
     """Outcome: the retry budget, which all VMs share, is used up for now."""
 
 
@@ -109,7 +109,7 @@
     """Outcome: there are engines, but none of them has the capacity to start the run now."""
 
 
-RunOutcome = Placed | NoEngine | BudgetSpent | Overloaded
+RunOutcome = Placed | NoEngine | RetryBudgetExhausted | Overloaded
 
 
 @attrs.frozen(kw_only=True)
@@ -133,7 +133,7 @@
     ``now`` is in seconds of the monotonic clock.
     """
     if request.repeat and not context.window.allows(now, vms=context.vms):
-        return BudgetSpent()
+        return RetryBudgetExhausted()
     overloaded = _check_overload(request, context, now)
     if overloaded is not None:
         return overloaded
@@ -150,7 +150,7 @@
     Return `NoCapacity` while every engine has more prefill work left than `BEGINS_WITHIN_S`.
     """
     if request.repeat and not context.window.allows(now, vms=context.vms):
-        return BudgetSpent()
+        return RetryBudgetExhausted()
     serving = context.targets.serving(request.service, on_trial=request.on_trial)
     if all(engine.id in request.avoid for engine in serving):
         return NoEngine()
--- a/lagoonlever/gateway/attempt_planner.py
+++ b/lagoonlever/gateway/attempt_planner.py
@@ -10,7 +10,7 @@
 from lagoonlever.decisions.streams.booked_runs import EngineRun, RunCopy
 from lagoonlever.decisions.streams.life import Place, ResumeFrom, StreamLifecycle
 from lagoonlever.decisions.streams.run_placement import (
-    BudgetSpent,
+    RetryBudgetExhausted,
     NoEngine,
     Overloaded,
     Placed,
@@ -48,7 +48,7 @@
 
     async def plan(
         self, accepted: Accepted, life: StreamLifecycle, step: Place | ResumeFrom
-    ) -> AttemptPlan | BudgetSpent | Overloaded | RefusedWithReturn | None:
+    ) -> AttemptPlan | RetryBudgetExhausted | Overloaded | RefusedWithReturn | None:
         """Give the attempt, or why there is none; None where the life has another step to try."""
         outcome: RunOutcome | RefusedWithReturn = NoEngine()
         gathering: str | None = None
@@ -59,7 +59,7 @@
             ask = attrs.evolve(ask, avoid=tuple(sorted({*ask.avoid, *held})))
             gathering = self._gathering(accepted, step, ask)
             outcome = await self._place(accepted, life, step, ask, gathering)
-        if isinstance(outcome, BudgetSpent | Overloaded | RefusedWithReturn):
+        if isinstance(outcome, RetryBudgetExhausted | Overloaded | RefusedWithReturn):
             return outcome
         found = self._beliefs.targets.find(outcome.engine) if isinstance(outcome, Placed) else None
         if found is None or not isinstance(outcome, Placed):
--- a/lagoonlever/gateway/streams.py
+++ b/lagoonlever/gateway/streams.py
@@ -9,7 +9,7 @@
 from lagoonlever.decisions.admission.room import RefusedWithReturn
 from lagoonlever.decisions.streams.booked_runs import EngineRun, RunCopy
 from lagoonlever.decisions.streams.life import GiveUp, StreamLifecycle, WaitForEngine
-from lagoonlever.decisions.streams.run_placement import BudgetSpent, Overloaded
+from lagoonlever.decisions.streams.run_placement import RetryBudgetExhausted, Overloaded
 from lagoonlever.gateway import events
 from lagoonlever.gateway.accepted import Accepted
 from lagoonlever.gateway.answers import tell
@@ -142,7 +142,7 @@
                 return self._admission.overloaded(accepted, plan)
             if isinstance(plan, RefusedWithReturn):
                 return self._admission.turned_away(plan)
-            if isinstance(plan, BudgetSpent):
+            if isinstance(plan, RetryBudgetExhausted):
                 events.REPEAT_WAITS.log(log, request=accepted.request_id, service=accepted.service)
                 await trio.sleep(BUDGET_RETRY_S)
                 continue
--- a/lagoonlever/peers/messages_placement.py
+++ b/lagoonlever/peers/messages_placement.py
@@ -11,7 +11,7 @@
 from lagoonlever.decisions.engines.engine_paces import KeptPace
 from lagoonlever.decisions.streams.booked_runs import EngineRun
 from lagoonlever.decisions.streams.run_placement import (
-    BudgetSpent,
+    RetryBudgetExhausted,
     NoEngine,
     Overloaded,
     Placed,
@@ -52,7 +52,7 @@
             number=number,
             placed=outcome if isinstance(outcome, Placed) else None,
             overloaded=outcome if isinstance(outcome, Overloaded) else None,
-            budget_spent=isinstance(outcome, BudgetSpent),
+            budget_spent=isinstance(outcome, RetryBudgetExhausted),
             pace=pace,
         )
 
@@ -63,7 +63,7 @@
             return self.placed
         if self.overloaded is not None:
             return self.overloaded
-        return BudgetSpent() if self.budget_spent else NoEngine()
+        return RetryBudgetExhausted() if self.budget_spent else NoEngine()
 
 
 @PEER.message("pf")
--- a/lagoonlever/tests/placer_tests.py
+++ b/lagoonlever/tests/placer_tests.py
@@ -17,7 +17,11 @@
     chosen_at_random,
     placing_fleet,
 )
-from lagoonlever.decisions.streams.run_placement import BudgetSpent, Placed, PlacementRequest
+from lagoonlever.decisions.streams.run_placement import (
+    RetryBudgetExhausted,
+    Placed,
+    PlacementRequest,
+)
 from lagoonlever.gateway.placer import ANSWER_S
 from lagoonlever.peers.messages import PEER
 from lagoonlever.peers.messages_gateway import RunEnded, RunList
@@ -162,7 +166,7 @@
         )
         asker.peers.begin(asker.booked("r", await asker.place("r")))
         outcomes = [await asker.placer.place(attrs.evolve(ask, request=f"r{n}")) for n in range(3)]
-        assert all(isinstance(outcome, BudgetSpent) for outcome in outcomes)
+        assert all(isinstance(outcome, RetryBudgetExhausted) for outcome in outcomes)
 
     run_fleet(story)
 
--- a/lagoonlever/tests/run_placement_tests.py
+++ b/lagoonlever/tests/run_placement_tests.py
@@ -12,7 +12,7 @@
 from lagoonlever.decisions.settings.configuration import EngineLimits
 from lagoonlever.decisions.streams.booked_runs import EngineRun
 from lagoonlever.decisions.streams.run_placement import (
-    BudgetSpent,
+    RetryBudgetExhausted,
     NoEngine,
     Overloaded,
     Placed,
@@ -129,7 +129,7 @@
     assert isinstance(place_run(retry, context, 0.0), Placed)
     for _ in range(5):
         context.window.repeat(0.0)
-    assert isinstance(place_run(retry, context, 0.0), BudgetSpent)
+    assert isinstance(place_run(retry, context, 0.0), RetryBudgetExhausted)
     assert isinstance(place_run(REQUEST, context, 0.0), Placed)
 
 
