--- a/lagoonlever/decisions/streams/silence.py
+++ b/lagoonlever/decisions/streams/silence.py
@@ -88,7 +88,7 @@
 SilenceStep = WaitUntil | AskEngine | Lost
 
 
-class Answer(enum.Enum):
+class RunStatus(enum.Enum):
     """State of a run according to its engine's load report."""
 
     NONE = "none"
@@ -154,14 +154,14 @@
             return WaitUntil(at=self._query_at)
         return AskEngine()
 
-    def answered(self, answer: Answer, now: float, *, events_ahead: int = 0) -> None:
+    def answered(self, answer: RunStatus, now: float, *, events_ahead: int = 0) -> None:
         """Record the run's status as the engine reported it at ``now``.
 
         ``events_ahead`` is the number of events that the engine produced and this VM has not
         received.
         """
         silent_s = now - self._last_event_at
-        if answer is Answer.NONE:
+        if answer is RunStatus.NONE:
             self._unanswered += 1
             if self._flowing or self._suspected or self._unanswered > 1:
                 self._loss_reason = f"silent for {silent_s:.2f} s and does not answer"
@@ -169,11 +169,11 @@
             return
         self._unanswered = 0
         self._suspected = False
-        if answer is Answer.STARTED_AGAIN:
+        if answer is RunStatus.STARTED_AGAIN:
             self._loss_reason = f"silent for {silent_s:.2f} s, and its engine has started again"
-        elif answer is Answer.PREEMPTED:
+        elif answer is RunStatus.PREEMPTED:
             self._loss_reason = f"silent for {silent_s:.2f} s, and its engine has preempted it"
-        elif answer is Answer.NOT_THERE and silent_s >= UNLISTED_TIMEOUT_S:
+        elif answer is RunStatus.NOT_THERE and silent_s >= UNLISTED_TIMEOUT_S:
             self._loss_reason = f"silent for {silent_s:.2f} s and does not run it"
         elif events_ahead >= UNDELIVERED_EVENTS and silent_s >= UNDELIVERED_TIMEOUT_S:
             self._loss_reason = f"silent for {silent_s:.2f} s with {events_ahead} events made"
--- a/lagoonlever/gateway/stream_attempt.py
+++ b/lagoonlever/gateway/stream_attempt.py
@@ -13,7 +13,7 @@
 from lagoonlever.decisions.streams.life import EventVerdict, StreamLifecycle
 from lagoonlever.decisions.streams.silence import (
     PAUSE_ALLOWED_S,
-    Answer,
+    RunStatus,
     AskEngine,
     StreamSilence,
     WaitUntil,
@@ -285,15 +285,15 @@
         report = await self._tools.prober.ask(self._plan.engine)
         if not connection.quiet:
             # Something has arrived meanwhile: that says more than any report.
-            silence.answered(Answer.RUNNING, self._now)
+            silence.answered(RunStatus.RUNNING, self._now)
             return
         self._take_report(report)
         run = report.run(self._accepted.request_id) if report else None
         answer = _answer_of(report, run, flowing=self._flowing)
         if run is None and self._flowing and self._has_started_again():
-            answer = Answer.STARTED_AGAIN
+            answer = RunStatus.STARTED_AGAIN
         elif report is not None and self._is_preempted(report, silence):
-            answer = Answer.PREEMPTED
+            answer = RunStatus.PREEMPTED
         ahead = run.events - (self._life.position or 0) if run else 0
         events.ENGINE_ASKED.log(
             log,
@@ -305,7 +305,7 @@
         )
         self._tools.reporter.tally.add(metrics.ENGINE_QUESTIONS, answer.value)
         silence.answered(answer, self._now, events_ahead=ahead)
-        if answer is Answer.QUEUED and report is not None and not self._answered:
+        if answer is RunStatus.QUEUED and report is not None and not self._answered:
             self._leave_stuck_queue(report)
 
     def _take_report(self, report: EngineReport | None) -> None:
@@ -513,13 +513,13 @@
         return "head" if self._answered else "none"
 
 
-def _answer_of(report: EngineReport | None, run: RunReport | None, *, flowing: bool) -> Answer:
+def _answer_of(report: EngineReport | None, run: RunReport | None, *, flowing: bool) -> RunStatus:
     """Read a report; an engine lists a run by name only once it has made a token."""
     if report is None:
-        return Answer.NONE
+        return RunStatus.NONE
     if run is not None:
-        return Answer.RUNNING
+        return RunStatus.RUNNING
     unnamed = report.waiting + max(0, report.running - len(report.runs))
     if report.waiting or (unnamed and not flowing):
-        return Answer.QUEUED
-    return Answer.NOT_THERE
+        return RunStatus.QUEUED
+    return RunStatus.NOT_THERE
--- a/lagoonlever/tests/stream_silence_tests.py
+++ b/lagoonlever/tests/stream_silence_tests.py
@@ -7,7 +7,7 @@
     MIN_SUSPECT_S,
     PAUSE_ALLOWED_S,
     QUERY_SHARE_OF_PAUSE,
-    Answer,
+    RunStatus,
     AskEngine,
     Lost,
     StreamSilence,
@@ -39,14 +39,14 @@
 
 def test_an_attempt_is_lost_if_its_engine_does_not_answer() -> None:
     silence, last = flowing()
-    silence.answered(Answer.NONE, last + 0.25)
+    silence.answered(RunStatus.NONE, last + 0.25)
     step = silence.decide(last + 0.25)
     assert isinstance(step, Lost) and step.unanswered
 
 
 def test_an_attempt_that_its_engine_still_runs_is_kept() -> None:
     silence, last = flowing()
-    silence.answered(Answer.RUNNING, last + 0.15)
+    silence.answered(RunStatus.RUNNING, last + 0.15)
     assert isinstance(silence.decide(last + 0.16), WaitUntil)
 
 
@@ -54,9 +54,9 @@
     """A prefill takes a second; the loss of one packet of the query must not waste it."""
     silence = StreamSilence(sent_at=0.0)
     assert isinstance(silence.decide(FIRST_QUERY_S), AskEngine)
-    silence.answered(Answer.NONE, 0.5)
+    silence.answered(RunStatus.NONE, 0.5)
     assert isinstance(silence.decide(0.5), AskEngine)
-    silence.answered(Answer.NONE, 0.6)
+    silence.answered(RunStatus.NONE, 0.6)
     assert isinstance(silence.decide(0.6), Lost)
 
 
@@ -64,28 +64,28 @@
     silence = StreamSilence(sent_at=0.0)
     silence.suspect(0.2)
     assert isinstance(silence.decide(0.2), AskEngine)
-    silence.answered(Answer.NONE, 0.3)
+    silence.answered(RunStatus.NONE, 0.3)
     assert isinstance(silence.decide(0.3), Lost)
 
 
 def test_a_run_that_is_not_listed_for_long_is_lost() -> None:
     silence = StreamSilence(sent_at=0.0)
-    silence.answered(Answer.NOT_THERE, 0.4)
+    silence.answered(RunStatus.NOT_THERE, 0.4)
     assert not isinstance(silence.decide(0.4), Lost)
-    silence.answered(Answer.NOT_THERE, 1.0)
+    silence.answered(RunStatus.NOT_THERE, 1.0)
     assert isinstance(silence.decide(1.0), Lost)
 
 
 def test_a_run_that_may_be_queued_at_its_engine_is_kept() -> None:
     silence = StreamSilence(sent_at=0.0)
     for now in (0.4, 1.0, 1.6, 2.2):
-        silence.answered(Answer.QUEUED, now)
+        silence.answered(RunStatus.QUEUED, now)
         assert not isinstance(silence.decide(now), Lost)
 
 
 def test_events_that_were_produced_but_not_delivered_are_a_loss() -> None:
     silence = StreamSilence(sent_at=0.0)
-    silence.answered(Answer.RUNNING, 1.0, events_ahead=10)
+    silence.answered(RunStatus.RUNNING, 1.0, events_ahead=10)
     assert isinstance(silence.decide(1.0), Lost)
 
 
@@ -118,5 +118,5 @@
 
 def test_a_run_is_lost_if_its_engine_was_restarted() -> None:
     silence, last = flowing()
-    silence.answered(Answer.STARTED_AGAIN, last + 0.2)
+    silence.answered(RunStatus.STARTED_AGAIN, last + 0.2)
     assert isinstance(silence.decide(last + 0.2), Lost)
