--- a/lagoonlever/decisions/streams/silence.py
+++ b/lagoonlever/decisions/streams/silence.py
@@ -77,7 +77,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Lost:
+class AttemptLost:
     """Step: abandon the attempt as lost, for ``reason``."""
 
     reason: str
@@ -85,7 +85,7 @@
     """Whether the engine did not answer the query."""
 
 
-SilenceStep = WaitUntil | AskEngine | Lost
+SilenceStep = WaitUntil | AskEngine | AttemptLost
 
 
 class RunStatus(enum.Enum):
@@ -149,7 +149,7 @@
     def decide(self, now: float) -> SilenceStep:
         """Return the step to take at ``now``."""
         if self._loss_reason is not None:
-            return Lost(reason=self._loss_reason, unanswered=self._unanswered > 0)
+            return AttemptLost(reason=self._loss_reason, unanswered=self._unanswered > 0)
         if now < self._query_at:
             return WaitUntil(at=self._query_at)
         return AskEngine()
--- a/lagoonlever/gateway/stream_attempt.py
+++ b/lagoonlever/gateway/stream_attempt.py
@@ -19,7 +19,7 @@
     WaitUntil,
     first_ask_s,
 )
-from lagoonlever.decisions.streams.silence import Lost as SilenceLost
+from lagoonlever.decisions.streams.silence import AttemptLost as SilenceLost
 from lagoonlever.decisions.targets.limit_permits import Denied
 from lagoonlever.decisions.targets.replacements import LifeSigns
 from lagoonlever.exceptions import BadResponse, ConnectionBroken
--- a/lagoonlever/tests/stream_silence_tests.py
+++ b/lagoonlever/tests/stream_silence_tests.py
@@ -9,7 +9,7 @@
     QUERY_SHARE_OF_PAUSE,
     RunStatus,
     AskEngine,
-    Lost,
+    AttemptLost,
     StreamSilence,
     WaitUntil,
     first_ask_s,
@@ -41,7 +41,7 @@
     silence, last = flowing()
     silence.answered(RunStatus.NONE, last + 0.25)
     step = silence.decide(last + 0.25)
-    assert isinstance(step, Lost) and step.unanswered
+    assert isinstance(step, AttemptLost) and step.unanswered
 
 
 def test_an_attempt_that_its_engine_still_runs_is_kept() -> None:
@@ -57,7 +57,7 @@
     silence.answered(RunStatus.NONE, 0.5)
     assert isinstance(silence.decide(0.5), AskEngine)
     silence.answered(RunStatus.NONE, 0.6)
-    assert isinstance(silence.decide(0.6), Lost)
+    assert isinstance(silence.decide(0.6), AttemptLost)
 
 
 def test_a_loss_that_other_streams_have_seen_needs_only_one_query() -> None:
@@ -65,28 +65,28 @@
     silence.suspect(0.2)
     assert isinstance(silence.decide(0.2), AskEngine)
     silence.answered(RunStatus.NONE, 0.3)
-    assert isinstance(silence.decide(0.3), Lost)
+    assert isinstance(silence.decide(0.3), AttemptLost)
 
 
 def test_a_run_that_is_not_listed_for_long_is_lost() -> None:
     silence = StreamSilence(sent_at=0.0)
     silence.answered(RunStatus.NOT_THERE, 0.4)
-    assert not isinstance(silence.decide(0.4), Lost)
+    assert not isinstance(silence.decide(0.4), AttemptLost)
     silence.answered(RunStatus.NOT_THERE, 1.0)
-    assert isinstance(silence.decide(1.0), Lost)
+    assert isinstance(silence.decide(1.0), AttemptLost)
 
 
 def test_a_run_that_may_be_queued_at_its_engine_is_kept() -> None:
     silence = StreamSilence(sent_at=0.0)
     for now in (0.4, 1.0, 1.6, 2.2):
         silence.answered(RunStatus.QUEUED, now)
-        assert not isinstance(silence.decide(now), Lost)
+        assert not isinstance(silence.decide(now), AttemptLost)
 
 
 def test_events_that_were_produced_but_not_delivered_are_a_loss() -> None:
     silence = StreamSilence(sent_at=0.0)
     silence.answered(RunStatus.RUNNING, 1.0, events_ahead=10)
-    assert isinstance(silence.decide(1.0), Lost)
+    assert isinstance(silence.decide(1.0), AttemptLost)
 
 
 def test_a_gap_as_long_as_the_recent_ones_causes_no_query() -> None:
@@ -119,4 +119,4 @@
 def test_a_run_is_lost_if_its_engine_was_restarted() -> None:
     silence, last = flowing()
     silence.answered(RunStatus.STARTED_AGAIN, last + 0.2)
-    assert isinstance(silence.decide(last + 0.2), Lost)
+    assert isinstance(silence.decide(last + 0.2), AttemptLost)
