--- a/lagoonlever/decisions/streams/silence.py
+++ b/lagoonlever/decisions/streams/silence.py
@@ -106,7 +106,7 @@
 
 
 @attrs.define(kw_only=True, eq=False)
-class StreamSilence:
+class SilenceDetector:
     """Decides when the engine of one attempt is queried and when the attempt is lost.
 
     Points in time are seconds of the monotonic clock.
--- a/lagoonlever/gateway/attempt_tools.py
+++ b/lagoonlever/gateway/attempt_tools.py
@@ -7,7 +7,7 @@
 from lagoonlever.decisions.engines.correlated_loss import CorrelatedLoss
 from lagoonlever.decisions.settings.configuration import EngineLimits
 from lagoonlever.decisions.streams.booked_runs import EngineRun, RunCopy
-from lagoonlever.decisions.streams.silence import StreamSilence
+from lagoonlever.decisions.streams.silence import SilenceDetector
 from lagoonlever.decisions.targets.listed_target import ListedTarget
 from lagoonlever.gateway.beliefs import Beliefs
 from lagoonlever.gateway.crash_watch import CrashWatch
@@ -55,7 +55,7 @@
     rollouts: Rollouts
     words: TargetWords
     copier: RunCopier = attrs.field(factory=RunCopier)
-    watched: dict[str, set[StreamSilence]] = attrs.field(factory=dict)
+    watched: dict[str, set[SilenceDetector]] = attrs.field(factory=dict)
     """The open attempts by engine, to be looked at when the engine seems lost."""
     losses: CorrelatedLoss = attrs.field(factory=CorrelatedLoss)
 
--- a/lagoonlever/gateway/stream_attempt.py
+++ b/lagoonlever/gateway/stream_attempt.py
@@ -15,7 +15,7 @@
     PAUSE_ALLOWED_S,
     RunStatus,
     AskEngine,
-    StreamSilence,
+    SilenceDetector,
     WaitUntil,
     first_ask_s,
 )
@@ -202,17 +202,17 @@
             return False
         return self._peers.holds_book() and not self._tools.crashes.is_suspect(self._accepted)
 
-    def _new_silence(self) -> StreamSilence:
+    def _new_silence(self) -> SilenceDetector:
         route, service = self._accepted.route, self._accepted.service
         usual_s = self._tools.beliefs.book.paces.usual_reading_s(service)
-        return StreamSilence(
+        return SilenceDetector(
             sent_at=self._now,
             first_ask_s=first_ask_s(usual_reading_s=usual_s, objective_s=route.objective_s),
             pause_allowed_s=route.pause_objective_s or PAUSE_ALLOWED_S,
         )
 
     async def _relay(
-        self, connection: ClientConnection, silence: StreamSilence
+        self, connection: ClientConnection, silence: SilenceDetector
     ) -> AnswerHead | None:
         request = self._accepted.request
         try:
@@ -246,7 +246,7 @@
         await self._copies.free()
         return head
 
-    async def _wait_head(self, connection: ClientConnection, silence: StreamSilence) -> Response:
+    async def _wait_head(self, connection: ClientConnection, silence: SilenceDetector) -> Response:
         """Wait until the engine begins, unless the request is barred first, or goes elsewhere.
 
         Only that long: a cancellation later could cut the answer to the caller in a write.
@@ -262,7 +262,7 @@
         return response
 
     async def _next(
-        self, connection: ClientConnection, silence: StreamSilence, *, head: bool
+        self, connection: ClientConnection, silence: SilenceDetector, *, head: bool
     ) -> Response | bytes | None:
         """Wait for the next bytes, and ask the engine when they are late."""
         while True:
@@ -281,7 +281,7 @@
                 self._signs.arrived(self._tools.timers.elapsed)
                 return read
 
-    async def _ask(self, connection: ClientConnection, silence: StreamSilence) -> None:
+    async def _ask(self, connection: ClientConnection, silence: SilenceDetector) -> None:
         report = await self._tools.prober.ask(self._plan.engine)
         if not connection.quiet:
             # Something has arrived meanwhile: that says more than any report.
@@ -316,7 +316,7 @@
             self._copies.engine_leaves(self._now + report.leaves_in_s)
         take_report(report, self._plan, self._tools)
 
-    def _is_preempted(self, report: EngineReport, silence: StreamSilence) -> bool:
+    def _is_preempted(self, report: EngineReport, silence: SilenceDetector) -> bool:
         return ranks_differ(self._plan, self._tools) and is_preempted(
             flowing=self._flowing,
             listed=report.run(self._accepted.request_id) is not None,
@@ -362,7 +362,7 @@
             )
         return True
 
-    async def _pass_on(self, arrived: list[RawEvent], silence: StreamSilence) -> None:
+    async def _pass_on(self, arrived: list[RawEvent], silence: SilenceDetector) -> None:
         for event in arrived:
             verdict = self._life.event(event.id)
             if verdict is EventVerdict.OUT_OF_ORDER:
@@ -373,7 +373,7 @@
                 await self._accepted.exchange.write(event.data)
             self._note_event(silence)
 
-    def _note_event(self, silence: StreamSilence) -> None:
+    def _note_event(self, silence: SilenceDetector) -> None:
         now = self._now
         if not self._flowing:
             self._flowing = self._copies.flowing = True
--- a/lagoonlever/tests/stream_silence_tests.py
+++ b/lagoonlever/tests/stream_silence_tests.py
@@ -10,14 +10,14 @@
     RunStatus,
     AskEngine,
     AttemptLost,
-    StreamSilence,
+    SilenceDetector,
     WaitUntil,
     first_ask_s,
 )
 
 
-def flowing(*, spacing_s: float = 0.03, events: int = 30) -> tuple[StreamSilence, float]:
-    silence, now = StreamSilence(sent_at=0.0), 1.0
+def flowing(*, spacing_s: float = 0.03, events: int = 30) -> tuple[SilenceDetector, float]:
+    silence, now = SilenceDetector(sent_at=0.0), 1.0
     for _ in range(events):
         silence.event(now)
         now += spacing_s
@@ -52,7 +52,7 @@
 
 def test_before_the_first_event_one_unanswered_query_is_not_enough() -> None:
     """A prefill takes a second; the loss of one packet of the query must not waste it."""
-    silence = StreamSilence(sent_at=0.0)
+    silence = SilenceDetector(sent_at=0.0)
     assert isinstance(silence.decide(FIRST_QUERY_S), AskEngine)
     silence.answered(RunStatus.NONE, 0.5)
     assert isinstance(silence.decide(0.5), AskEngine)
@@ -61,7 +61,7 @@
 
 
 def test_a_loss_that_other_streams_have_seen_needs_only_one_query() -> None:
-    silence = StreamSilence(sent_at=0.0)
+    silence = SilenceDetector(sent_at=0.0)
     silence.suspect(0.2)
     assert isinstance(silence.decide(0.2), AskEngine)
     silence.answered(RunStatus.NONE, 0.3)
@@ -69,7 +69,7 @@
 
 
 def test_a_run_that_is_not_listed_for_long_is_lost() -> None:
-    silence = StreamSilence(sent_at=0.0)
+    silence = SilenceDetector(sent_at=0.0)
     silence.answered(RunStatus.NOT_THERE, 0.4)
     assert not isinstance(silence.decide(0.4), AttemptLost)
     silence.answered(RunStatus.NOT_THERE, 1.0)
@@ -77,14 +77,14 @@
 
 
 def test_a_run_that_may_be_queued_at_its_engine_is_kept() -> None:
-    silence = StreamSilence(sent_at=0.0)
+    silence = SilenceDetector(sent_at=0.0)
     for now in (0.4, 1.0, 1.6, 2.2):
         silence.answered(RunStatus.QUEUED, now)
         assert not isinstance(silence.decide(now), AttemptLost)
 
 
 def test_events_that_were_produced_but_not_delivered_are_a_loss() -> None:
-    silence = StreamSilence(sent_at=0.0)
+    silence = SilenceDetector(sent_at=0.0)
     silence.answered(RunStatus.RUNNING, 1.0, events_ahead=10)
     assert isinstance(silence.decide(1.0), AttemptLost)
 
@@ -102,7 +102,7 @@
 
 
 def test_half_of_the_pause_that_a_route_accepts_is_left_for_the_resume() -> None:
-    silence = StreamSilence(sent_at=0.0, pause_allowed_s=0.3)
+    silence = SilenceDetector(sent_at=0.0, pause_allowed_s=0.3)
     for number in range(30):
         silence.event(1.0 + 0.08 * number)
     step = silence.decide(1.0 + 0.08 * 29)
