--- a/lagoonlever/decisions/streams/silence.py
+++ b/lagoonlever/decisions/streams/silence.py
@@ -72,7 +72,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class AskEngine:
+class QueryEngine:
     """Step: query the engine for its load report."""
 
 
@@ -85,7 +85,7 @@
     """Whether the engine did not answer the query."""
 
 
-SilenceStep = WaitUntil | AskEngine | AttemptLost
+SilenceStep = WaitUntil | QueryEngine | AttemptLost
 
 
 class RunStatus(enum.Enum):
@@ -152,7 +152,7 @@
             return AttemptLost(reason=self._loss_reason, unanswered=self._unanswered > 0)
         if now < self._query_at:
             return WaitUntil(at=self._query_at)
-        return AskEngine()
+        return QueryEngine()
 
     def answered(self, answer: RunStatus, now: float, *, events_ahead: int = 0) -> None:
         """Record the run's status as the engine reported it at ``now``.
--- a/lagoonlever/gateway/stream_attempt.py
+++ b/lagoonlever/gateway/stream_attempt.py
@@ -14,7 +14,7 @@
 from lagoonlever.decisions.streams.silence import (
     PAUSE_ALLOWED_S,
     RunStatus,
-    AskEngine,
+    QueryEngine,
     SilenceDetector,
     WaitUntil,
     first_ask_s,
@@ -269,7 +269,7 @@
             step = silence.decide(self._now)
             if isinstance(step, SilenceLost):
                 raise _Ended(step.reason, unanswered=step.unanswered)
-            if isinstance(step, AskEngine):
+            if isinstance(step, QueryEngine):
                 await self._ask(connection, silence)
                 continue
             assert isinstance(step, WaitUntil)
--- a/lagoonlever/tests/stream_silence_tests.py
+++ b/lagoonlever/tests/stream_silence_tests.py
@@ -8,7 +8,7 @@
     PAUSE_ALLOWED_S,
     QUERY_SHARE_OF_PAUSE,
     RunStatus,
-    AskEngine,
+    QueryEngine,
     AttemptLost,
     SilenceDetector,
     WaitUntil,
@@ -27,7 +27,7 @@
 def test_a_flowing_stream_is_queried_after_a_few_mean_gaps() -> None:
     silence, last = flowing()
     assert silence.decide(last + MIN_SUSPECT_S * 0.9) == WaitUntil(at=last + MIN_SUSPECT_S)
-    assert isinstance(silence.decide(last + MIN_SUSPECT_S * 1.1), AskEngine)
+    assert isinstance(silence.decide(last + MIN_SUSPECT_S * 1.1), QueryEngine)
 
 
 def test_a_slow_engine_gets_more_time_up_to_half_of_the_accepted_pause() -> None:
@@ -53,9 +53,9 @@
 def test_before_the_first_event_one_unanswered_query_is_not_enough() -> None:
     """A prefill takes a second; the loss of one packet of the query must not waste it."""
     silence = SilenceDetector(sent_at=0.0)
-    assert isinstance(silence.decide(FIRST_QUERY_S), AskEngine)
+    assert isinstance(silence.decide(FIRST_QUERY_S), QueryEngine)
     silence.answered(RunStatus.NONE, 0.5)
-    assert isinstance(silence.decide(0.5), AskEngine)
+    assert isinstance(silence.decide(0.5), QueryEngine)
     silence.answered(RunStatus.NONE, 0.6)
     assert isinstance(silence.decide(0.6), AttemptLost)
 
@@ -63,7 +63,7 @@
 def test_a_loss_that_other_streams_have_seen_needs_only_one_query() -> None:
     silence = SilenceDetector(sent_at=0.0)
     silence.suspect(0.2)
-    assert isinstance(silence.decide(0.2), AskEngine)
+    assert isinstance(silence.decide(0.2), QueryEngine)
     silence.answered(RunStatus.NONE, 0.3)
     assert isinstance(silence.decide(0.3), AttemptLost)
 
@@ -98,7 +98,7 @@
     silence, last = flowing(spacing_s=0.46, events=40)
     step = silence.decide(last + 0.47)
     assert isinstance(step, WaitUntil)
-    assert isinstance(silence.decide(last + 0.7), AskEngine)
+    assert isinstance(silence.decide(last + 0.7), QueryEngine)
 
 
 def test_half_of_the_pause_that_a_route_accepts_is_left_for_the_resume() -> None:
