--- a/lagoonlever/decisions/streams/generation_messages.py
+++ b/lagoonlever/decisions/streams/generation_messages.py
@@ -49,7 +49,7 @@
     return xxhash.xxh3_64_intdigest(name.encode()) >> (64 - SEED_BITS)
 
 
-class BreakCause(enum.Enum):
+class FailureCause(enum.Enum):
     """Reason why an attempt ended before its answer was complete."""
 
     CONNECT_FAILED = "connect-failed"
@@ -67,15 +67,15 @@
     """This VM withdrew the stream from the engine; the engine is not at fault."""
 
 
-NOTHING_SENT = frozenset({BreakCause.CONNECT_FAILED, BreakCause.NO_TARGET})
+NOTHING_SENT = frozenset({FailureCause.CONNECT_FAILED, FailureCause.NO_TARGET})
 """Causes which prove that the engine received nothing, so it cannot have run the request."""
 
 TARGET_NOT_TO_BLAME = frozenset(
-    {BreakCause.NO_TARGET, BreakCause.NOT_THERE, BreakCause.CALLED_BACK}
+    {FailureCause.NO_TARGET, FailureCause.NOT_THERE, FailureCause.CALLED_BACK}
 )
 """Causes after which the engine may be chosen again."""
 
-NOTHING_TO_CANCEL = NOTHING_SENT | {BreakCause.REFUSED, BreakCause.NOT_THERE}
+NOTHING_TO_CANCEL = NOTHING_SENT | {FailureCause.REFUSED, FailureCause.NOT_THERE}
 """Causes after which the engine has no stream that would have to be cancelled."""
 
 
--- a/lagoonlever/entry/engines/engines.py
+++ b/lagoonlever/entry/engines/engines.py
@@ -11,7 +11,7 @@
 from lagoonlever.decisions.admission.admission import AdmissionRequest
 from lagoonlever.decisions.routing.routing import Choice, ModelQuery, RequestFeatures, Router
 from lagoonlever.decisions.shares.shares import work_of
-from lagoonlever.decisions.streams.generation_messages import BreakCause, Dispatch, GenerationSpec
+from lagoonlever.decisions.streams.generation_messages import FailureCause, Dispatch, GenerationSpec
 from lagoonlever.decisions.targets.targets import ModelKey, Target, TargetState, TargetView
 from lagoonlever.entry.engines.crashes import EngineCrashes
 from lagoonlever.entry.engines.watch import EngineWatch, SuspicionListener
@@ -198,7 +198,7 @@
         spec: GenerationSpec,
         dispatch: Dispatch,
         placement: Placement,
-        cause: BreakCause | None,
+        cause: FailureCause | None,
     ) -> None:
         """Note that an attempt is over; ``cause`` is None at an answer's proper end."""
         now = self._timers.now
@@ -211,7 +211,7 @@
         self._router.ended(target.name, now=now, took_s=took_s)
         if cause is None:
             self._crashes.served(spec)
-        if cause in (BreakCause.CONNECT_FAILED, BreakCause.SILENT):
+        if cause in (FailureCause.CONNECT_FAILED, FailureCause.SILENT):
             self._guard.connect_failed(target)
 
     def refusal(self, spec: GenerationSpec) -> NotRun | None:
@@ -227,14 +227,14 @@
         return place is not None and place.name != placement.target.name
 
     async def look_at_end(
-        self, spec: GenerationSpec, placement: Placement, cause: BreakCause
+        self, spec: GenerationSpec, placement: Placement, cause: FailureCause
     ) -> NotRun | None:
         """Look whether an engine ended under an attempt; gives why there is to be no other.
 
         Not where tokens had come: what was running beside a prompt that ends its engine is
         no cause of it.
         """
-        if cause is BreakCause.BROKEN and not placement.tokens:
+        if cause is FailureCause.BROKEN and not placement.tokens:
             await self._crashes.look(spec, placement.target, sent_at=placement.started_at)
         return self._crashes.refusal(spec)
 
--- a/lagoonlever/entry/generations/task.py
+++ b/lagoonlever/entry/generations/task.py
@@ -10,7 +10,7 @@
 
 from lagoonlever.decisions.streams.generation import GenerationLifecycle
 from lagoonlever.decisions.streams.generation_messages import (
-    BreakCause,
+    FailureCause,
     CancelAttempt,
     Decision,
     Dispatch,
@@ -145,7 +145,7 @@
         for number, running in list(self._running.items()):
             if self._is_misplaced(running):
                 running.left = True
-                self._carry_out(self._life.broken(attempt=number, cause=BreakCause.CALLED_BACK))
+                self._carry_out(self._life.broken(attempt=number, cause=FailureCause.CALLED_BACK))
 
     def hand_over(self) -> None:
         """Stop and cancel nothing at the engines: another VM takes up their streams."""
@@ -207,7 +207,7 @@
 
     async def _run_attempt(self, running: _RunningAttempt) -> None:
         dispatch = running.dispatch
-        cause: BreakCause | None = None
+        cause: FailureCause | None = None
         with running.scope:
             await trio.sleep(dispatch.delay_s)
             placement = await self._engines.place(self.spec, dispatch)
@@ -220,14 +220,14 @@
                 cause = await self._attempt(running, placement)
             finally:
                 if running.scope.cancel_called:
-                    cause = BreakCause.CALLED_BACK if running.left else BreakCause.SILENT
+                    cause = FailureCause.CALLED_BACK if running.left else FailureCause.SILENT
                 self._engines.ended(self.spec, dispatch, placement, cause)
         if cause is not None:
             await self._look_at_end(running, cause)
             self._carry_out(self._life.broken(attempt=dispatch.attempt, cause=cause))
         self._running.pop(dispatch.attempt, None)
 
-    async def _look_at_end(self, running: _RunningAttempt, cause: BreakCause) -> None:
+    async def _look_at_end(self, running: _RunningAttempt, cause: FailureCause) -> None:
         """Give the request up where too many engines have ended under it."""
         if running.placement is None:
             return
@@ -239,11 +239,11 @@
         del self._running[dispatch.attempt]
         attempt = dispatch.attempt
         if answer is None:
-            self._carry_out(self._life.broken(attempt=attempt, cause=BreakCause.NO_TARGET))
+            self._carry_out(self._life.broken(attempt=attempt, cause=FailureCause.NO_TARGET))
         else:
             self._carry_out(self._life.not_admitted(attempt=attempt, answer=answer))
 
-    async def _attempt(self, running: _RunningAttempt, placement: Placement) -> BreakCause | None:
+    async def _attempt(self, running: _RunningAttempt, placement: Placement) -> FailureCause | None:
         dispatch = running.dispatch
 
         def before_write() -> bool:
@@ -264,12 +264,12 @@
         try:
             await attempt.run()
         except ConnectFailed:
-            return BreakCause.CONNECT_FAILED
+            return FailureCause.CONNECT_FAILED
         except EngineRefused:
-            return BreakCause.NOT_THERE if dispatch.reattach else BreakCause.REFUSED
+            return FailureCause.NOT_THERE if dispatch.reattach else FailureCause.REFUSED
         except PeerError:
-            return BreakCause.BROKEN
-        return BreakCause.BROKEN if self._life.finished is None else None
+            return FailureCause.BROKEN
+        return FailureCause.BROKEN if self._life.finished is None else None
 
     def _take_chunk(
         self, running: _RunningAttempt, placement: Placement, chunk: EngineChunk
--- a/lagoonlever/tests/generation_tests.py
+++ b/lagoonlever/tests/generation_tests.py
@@ -13,7 +13,7 @@
 
 from lagoonlever.decisions.streams.generation import GenerationLifecycle
 from lagoonlever.decisions.streams.generation_messages import (
-    BreakCause,
+    FailureCause,
     Decision,
     Dispatch,
     Finish,
@@ -98,7 +98,7 @@
     harness = Harness(life(cls)).begin()
     harness.step(harness.newest(), offset)
     attempt = harness.newest().dispatch.attempt
-    harness.carry_out(harness.life.broken(attempt=attempt, cause=BreakCause.BROKEN))
+    harness.carry_out(harness.life.broken(attempt=attempt, cause=FailureCause.BROKEN))
     harness.run_out()
     return harness.released
 
@@ -127,7 +127,7 @@
     harness = Harness(life(cls, spec=spec(accepts_restart=True)), versions=["v1", "v2"]).begin()
     harness.step(harness.newest(), 7)
     first = harness.newest().dispatch.attempt
-    harness.carry_out(harness.life.broken(attempt=first, cause=BreakCause.BROKEN))
+    harness.carry_out(harness.life.broken(attempt=first, cause=FailureCause.BROKEN))
     harness.step(harness.newest())
     return harness
 
@@ -157,7 +157,7 @@
     """
     harness = Harness(life(spec=spec(accepts_restart=True))).begin()
     harness.step(harness.newest(), 9)
-    for cause in (BreakCause.BROKEN, BreakCause.NO_TARGET, BreakCause.NO_TARGET):
+    for cause in (FailureCause.BROKEN, FailureCause.NO_TARGET, FailureCause.NO_TARGET):
         attempt = harness.newest().dispatch.attempt
         harness.carry_out(harness.life.broken(attempt=attempt, cause=cause))
     assert harness.restarts == 1
@@ -172,7 +172,7 @@
 def test_a_caller_that_accepts_no_restart_gets_failed_instead() -> None:
     harness = Harness(life()).begin()
     harness.step(harness.newest(), 9)
-    for cause in (BreakCause.BROKEN, BreakCause.NO_TARGET, BreakCause.NO_TARGET):
+    for cause in (FailureCause.BROKEN, FailureCause.NO_TARGET, FailureCause.NO_TARGET):
         attempt = harness.newest().dispatch.attempt
         harness.carry_out(harness.life.broken(attempt=attempt, cause=cause))
     assert isinstance(harness.finish, Finish)
@@ -205,7 +205,7 @@
     (first,) = machine.start()
     assert isinstance(first, Dispatch)
     machine.placed(attempt=first.attempt, target="dead")
-    (second,) = machine.broken(attempt=first.attempt, cause=BreakCause.CONNECT_FAILED)
+    (second,) = machine.broken(attempt=first.attempt, cause=FailureCause.CONNECT_FAILED)
     assert isinstance(second, Dispatch)
     assert second.avoid == {"dead"}
 
@@ -220,7 +220,7 @@
         harness.step(harness.newest(), offset)
         if harness.finish is None:
             attempt = harness.newest().dispatch.attempt
-            harness.carry_out(harness.life.broken(attempt=attempt, cause=BreakCause.BROKEN))
+            harness.carry_out(harness.life.broken(attempt=attempt, cause=FailureCause.BROKEN))
         harness.run_out()
         assert harness.life.answer is not None
         assert harness.life.answer.text == whole.text[:cut]
@@ -249,8 +249,8 @@
         self.harness.step(self.harness.newest(), times)
 
     @precondition(_is_open)
-    @rule(cause=st.sampled_from(BreakCause))
-    def an_attempt_fails(self, cause: BreakCause) -> None:
+    @rule(cause=st.sampled_from(FailureCause))
+    def an_attempt_fails(self, cause: FailureCause) -> None:
         attempt = self.harness.life.live_attempts[0]
         self.harness.carry_out(self.harness.life.broken(attempt=attempt, cause=cause))
 
