--- a/lagoonlever/decisions/streams/generation.py
+++ b/lagoonlever/decisions/streams/generation.py
@@ -27,7 +27,7 @@
     Release,
     Restart,
     ResumePoint,
-    seed_of,
+    generation_seed,
 )
 from lagoonlever.decisions.targets.release import ReleaseBuffer
 from lagoonlever.outcomes import Done, Failed, NotRun, Outcome, Reason, Unknown
@@ -89,7 +89,7 @@
         self._vm = vm
         self._generation = first_generation
         self._attempt_counter = 0
-        self._seed = seed_of(self._spec, self._generation)
+        self._seed = generation_seed(self._spec, self._generation)
         self._answer: Answer | None = None
         self._prompt_token_ids: tuple[int, ...] | None = None
         self._open_attempts: dict[int, _Attempt] = {}
@@ -304,7 +304,7 @@
         """Continue from the generation, attempt number and tokens of a resume point."""
         self._generation = point.generation
         self._attempt_counter = point.attempt >> ATTEMPT_RANDOM_BITS
-        self._seed = seed_of(self._spec, point.generation)
+        self._seed = generation_seed(self._spec, point.generation)
         self._prompt_token_ids = point.prompt_token_ids
         self._answer = self._start_answer(point.model_version)
         self._any_attempt_sent = True
@@ -407,7 +407,7 @@
         """Start a new generation, and announce it if the caller has tokens of the present one."""
         had_released = self.released > 0
         self._generation += 1
-        self._seed = seed_of(self._spec, self._generation)
+        self._seed = generation_seed(self._spec, self._generation)
         self._answer = None
         self._prompt_token_ids = None
         self._avoided_targets.clear()
--- a/lagoonlever/decisions/streams/generation_messages.py
+++ b/lagoonlever/decisions/streams/generation_messages.py
@@ -37,7 +37,7 @@
     """Whether the caller can discard the tokens it has when a new generation starts."""
 
 
-def seed_of(spec: GenerationSpec, generation: int) -> int:
+def generation_seed(spec: GenerationSpec, generation: int) -> int:
     """Return the sampling seed of a generation.
 
     The first generation uses the caller's seed, if there is one. Every other seed is derived
