--- a/lagoonlever/decisions/streams/copy_keeping.py
+++ b/lagoonlever/decisions/streams/copy_keeping.py
@@ -41,7 +41,7 @@
 
 
 @attrs.define(kw_only=True)
-class CopyKeeping:
+class CopyPolicy:
     """State of the copy of one run; points in time are seconds of the monotonic clock."""
 
     _retention_s: float
--- a/lagoonlever/gateway/copy_keeper.py
+++ b/lagoonlever/gateway/copy_keeper.py
@@ -11,7 +11,7 @@
 from lagoonlever.decisions.settings.configuration import EngineLimits
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS, gives
 from lagoonlever.decisions.streams.booked_runs import EngineRun, RunCopy
-from lagoonlever.decisions.streams.copy_keeping import CHECK_S, CopyKeeping
+from lagoonlever.decisions.streams.copy_keeping import CHECK_S, CopyPolicy
 from lagoonlever.decisions.streams.run_placement import Placed, PlacementRequest
 from lagoonlever.decisions.targets.listed_target import ListedTarget
 from lagoonlever.gateway import events, metrics
@@ -42,11 +42,11 @@
     flowing: bool = False
     """The run has given its first event; before that there is nothing to copy."""
     _called_copy: RunCopy | None = None
-    _keeping: CopyKeeping = attrs.field(init=False)
+    _keeping: CopyPolicy = attrs.field(init=False)
 
     @_keeping.default
-    def _make_keeping(self) -> CopyKeeping:
-        return CopyKeeping(retention_s=self._limits.copy_kept_s)
+    def _make_keeping(self) -> CopyPolicy:
+        return CopyPolicy(retention_s=self._limits.copy_kept_s)
 
     def engine_leaves(self, at: float) -> None:
         """Have the copy made anew before the run's own engine leaves."""
--- a/lagoonlever/tests/engine_reports_tests.py
+++ b/lagoonlever/tests/engine_reports_tests.py
@@ -12,7 +12,7 @@
     leaves_too_soon,
 )
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS
-from lagoonlever.decisions.streams.copy_keeping import LAST_COPY_S, CopyKeeping
+from lagoonlever.decisions.streams.copy_keeping import LAST_COPY_S, CopyPolicy
 from lagoonlever.gateway.messages import EngineReport
 from lagoonlever.platform.engine_calls import Report, read_report
 
@@ -79,7 +79,7 @@
 
 def test_a_called_copy_is_fresh_when_the_run_s_engine_leaves() -> None:
     """Guards against a run resumed from a copy that is a second old and made again from there."""
-    keeping = CopyKeeping(retention_s=4.0)
+    keeping = CopyPolicy(retention_s=4.0)
     keeping.called("e2", 10.0)
     assert not keeping.due(11.2, holder_usable=True)
     keeping.engine_leaves(11.2 + LAST_COPY_S)
