--- a/lagoonlever/tests/engine_reports_tests.py
+++ b/lagoonlever/tests/engine_reports_tests.py
@@ -12,7 +12,7 @@
     leaves_too_soon,
 )
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS
-from lagoonlever.decisions.streams.copy_keeping import LAST_COPY_S, CopyPolicy
+from lagoonlever.decisions.streams.copy_policy import LAST_COPY_S, CopyPolicy
 from lagoonlever.gateway.messages import EngineReport
 from lagoonlever.platform.engine_calls import Report, read_report
 
