--- a/lagoonlever/decisions/streams/orphans.py
+++ b/lagoonlever/decisions/streams/orphans.py
@@ -70,7 +70,7 @@
 
 
 @attrs.define(kw_only=True)
-class OrphanHolder:
+class OrphanRegistry:
     """Stream records that this VM keeps for its peers."""
 
     _records: dict[str, _KeptRecord] = attrs.field(factory=dict)
--- a/lagoonlever/entry/generations/orphans.py
+++ b/lagoonlever/entry/generations/orphans.py
@@ -9,7 +9,7 @@
 import trio
 
 from lagoonlever.decisions.membership.membership import Member, MemberView
-from lagoonlever.decisions.streams.orphans import OrphanHolder, StreamRecord, StreamReporter
+from lagoonlever.decisions.streams.orphans import OrphanRegistry, StreamRecord, StreamReporter
 from lagoonlever.decisions.streams.placement import holders
 from lagoonlever.entry.engines.engines import Engines
 from lagoonlever.entry.generations.attempt import cancel_stream
@@ -42,7 +42,7 @@
     _timers: TimerService
     _background: trio.Nursery
     _reporter: StreamReporter = attrs.field(factory=StreamReporter)
-    _holder: OrphanHolder = attrs.field(factory=OrphanHolder)
+    _holder: OrphanRegistry = attrs.field(factory=OrphanRegistry)
 
     async def run(self) -> None:
         """Tell, hear and cancel until cancelled."""
--- a/lagoonlever/tests/orphans_tests.py
+++ b/lagoonlever/tests/orphans_tests.py
@@ -12,7 +12,7 @@
 from lagoonlever.decisions.streams.orphans import (
     GRACE_S,
     RECORD_AFTER_S,
-    OrphanHolder,
+    OrphanRegistry,
     StreamRecord,
     StreamReporter,
 )
@@ -46,7 +46,7 @@
         self.states = {incarnation(name): MemberState.ALIVE for name in NAMES}
         self.lost_since: dict[Incarnation, float] = {}
         self.owners: dict[str, Incarnation] = {}
-        self.holder = OrphanHolder()
+        self.holder = OrphanRegistry()
 
     @rule(stream=st.sampled_from(STREAMS), name=st.sampled_from(NAMES))
     def open(self, stream: str, name: str) -> None:
@@ -123,7 +123,7 @@
         for stream_id in stream_ids:
             self._records.pop(stream_id, None)
 
-    monkeypatch.setattr(OrphanHolder, "closed", closed)
+    monkeypatch.setattr(OrphanRegistry, "closed", closed)
     with pytest.raises(AssertionError):
         run_state_machine_as_test(OrphanMachine, settings=LIMITS)
 
