--- a/lagoonlever/decisions/streams/run_placement.py
+++ b/lagoonlever/decisions/streams/run_placement.py
@@ -113,7 +113,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class PlacementView:
+class PlacementContext:
     """State of this VM that a placement is decided on."""
 
     book: EngineBook
@@ -127,7 +127,7 @@
     """Whether streams of the service differ in rank."""
 
 
-def place_run(request: PlacementRequest, context: PlacementView, now: float) -> RunOutcome:
+def place_run(request: PlacementRequest, context: PlacementContext, now: float) -> RunOutcome:
     """Place one attempt, or return why it cannot be placed.
 
     ``now`` is in seconds of the monotonic clock.
@@ -143,7 +143,7 @@
 
 
 def place_where_ready(
-    request: PlacementRequest, context: PlacementView, now: float
+    request: PlacementRequest, context: PlacementContext, now: float
 ) -> RunOutcome | NoCapacity:
     """Place an attempt that can wait in the queue for an engine that starts it soon.
 
@@ -157,7 +157,7 @@
     return _place(request, context, now, begins_within_s=BEGINS_WITHIN_S) or NoCapacity()
 
 
-def ready_rate(service: str, context: PlacementView, now: float) -> float:
+def ready_rate(service: str, context: PlacementContext, now: float) -> float:
     """Return the prompts per second that a service's engines can prefill; avoided ones excluded."""
     avoidance = context.book.avoidance
     usable = [e for e in context.targets.serving(service) if not avoidance.is_avoided(e.id, now)]
@@ -179,7 +179,7 @@
 
 def _place(
     request: PlacementRequest,
-    context: PlacementView,
+    context: PlacementContext,
     now: float,
     *,
     begins_within_s: float | None = None,
@@ -207,7 +207,7 @@
 
 
 def _place_at_settled_engine(
-    request: PlacementRequest, engine_id: str, context: PlacementView, now: float
+    request: PlacementRequest, engine_id: str, context: PlacementContext, now: float
 ) -> RunOutcome:
     """Place a run at the engine that is already decided on, unless that engine is unusable."""
     engine = context.targets.find(engine_id)
@@ -217,7 +217,7 @@
 
 
 def _choose_copy_holder(
-    request: PlacementRequest, engine: ListedTarget, context: PlacementView, now: float
+    request: PlacementRequest, engine: ListedTarget, context: PlacementContext, now: float
 ) -> str | None:
     """Return the id of an engine to hold the copy of a run at ``engine``, or None."""
     if not request.copies:
@@ -234,7 +234,7 @@
 
 
 def _check_overload(
-    request: PlacementRequest, context: PlacementView, now: float
+    request: PlacementRequest, context: PlacementContext, now: float
 ) -> Overloaded | None:
     """Refuse a new prompt while engines prefill so much that answers cannot finish in time.
 
--- a/lagoonlever/gateway/placer.py
+++ b/lagoonlever/gateway/placer.py
@@ -22,7 +22,7 @@
 from lagoonlever.decisions.settings.load_parts import has_ranks
 from lagoonlever.decisions.streams.run_placement import (
     Placed,
-    PlacementView,
+    PlacementContext,
     PlacementRequest,
     RunOutcome,
     place_run,
@@ -129,14 +129,14 @@
         engines = list(self._beliefs.targets.serving(service))
         return FormerRunTold(number=number, kept_at=await self._locator.find(part, engines))
 
-    def view(self, service: str) -> PlacementView:
+    def view(self, service: str) -> PlacementContext:
         """Give what this VM's own decisions rest on.
 
         The window counts the runs of all VMs where this one hears of them all. A VM that
         does not, and finds no hub, keeps to its share.
         """
         alone = bool(placement_hubs(self._roles.value, own=self._vm, present=self._present))
-        return PlacementView(
+        return PlacementContext(
             book=self._beliefs.book,
             window=self._budgets.of_runs(service),
             targets=self._beliefs.targets,
--- a/lagoonlever/tests/run_placement_tests.py
+++ b/lagoonlever/tests/run_placement_tests.py
@@ -16,7 +16,7 @@
     NoEngine,
     Overloaded,
     Placed,
-    PlacementView,
+    PlacementContext,
     PlacementRequest,
     place_run,
     reserved_run,
@@ -43,11 +43,11 @@
     )
 
 
-def view(*listed: ListedTarget) -> PlacementView:
+def view(*listed: ListedTarget) -> PlacementContext:
     targets = TargetRegistry()
     listed = listed or (engine("e1", "a"), engine("e2", "b"), engine("e3", "c"))
     targets.read(listed, revision=at(1), now=0.0, store_back_at=None)
-    return PlacementView(
+    return PlacementContext(
         book=EngineBook(rng=random.Random(1), data_center="a"),
         window=RetryWindow(ratio=0.8, window_s=10.0, slack=5.0),
         targets=targets,
