--- a/lagoonlever/bench/stream_day_model.py
+++ b/lagoonlever/bench/stream_day_model.py
@@ -30,7 +30,7 @@
 from lagoonlever.decisions.streams.booked_runs import EngineRun, RunCopy
 from lagoonlever.decisions.streams.life import (
     GiveUp,
-    Place,
+    PlaceAttempt,
     ResumeFrom,
     StreamLifecycle,
     WaitForEngine,
@@ -230,7 +230,7 @@
             self._at(now + come_back_s(self._rng), partial(self._ask, stream))
         return True
 
-    def _place(self, stream: ModelStream, step: Place, now: float) -> None:
+    def _place(self, stream: ModelStream, step: PlaceAttempt, now: float) -> None:
         placement = self._book.place(
             self._listed.values(),
             limits=self._limits,
--- a/lagoonlever/decisions/streams/life.py
+++ b/lagoonlever/decisions/streams/life.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Place:
+class PlaceAttempt:
     """Step: choose an engine that is not in ``avoid`` and send the request there."""
 
     avoid: frozenset[str]
@@ -62,7 +62,7 @@
     """Seconds after which the caller may retry; None if it may retry at once."""
 
 
-Step = Place | ResumeFrom | WaitForEngine | GiveUp
+Step = PlaceAttempt | ResumeFrom | WaitForEngine | GiveUp
 
 
 class EventVerdict(enum.Enum):
@@ -243,7 +243,7 @@
             return WaitForEngine(seconds=BUSY_ENGINE_RETRY_S)
         if self._copy is not None:
             return ResumeFrom(copy=self._copy)
-        return Place(
+        return PlaceAttempt(
             avoid=frozenset(self._avoided_engines), prefer=self._prefer, after_loss=self.sent > 0
         )
 
--- a/lagoonlever/gateway/attempt_planner.py
+++ b/lagoonlever/gateway/attempt_planner.py
@@ -8,7 +8,7 @@
 
 from lagoonlever.decisions.admission.room import RefusedWithReturn
 from lagoonlever.decisions.streams.booked_runs import EngineRun, RunCopy
-from lagoonlever.decisions.streams.life import Place, ResumeFrom, StreamLifecycle
+from lagoonlever.decisions.streams.life import PlaceAttempt, ResumeFrom, StreamLifecycle
 from lagoonlever.decisions.streams.run_placement import (
     RetryBudgetExhausted,
     NoEngine,
@@ -47,7 +47,7 @@
     _crashes: CrashWatch
 
     async def plan(
-        self, accepted: Accepted, life: StreamLifecycle, step: Place | ResumeFrom
+        self, accepted: Accepted, life: StreamLifecycle, step: PlaceAttempt | ResumeFrom
     ) -> AttemptPlan | RetryBudgetExhausted | Overloaded | RefusedWithReturn | None:
         """Give the attempt, or why there is none; None where the life has another step to try."""
         outcome: RunOutcome | RefusedWithReturn = NoEngine()
@@ -72,7 +72,7 @@
         self,
         accepted: Accepted,
         life: StreamLifecycle,
-        step: Place | ResumeFrom,
+        step: PlaceAttempt | ResumeFrom,
         ask: PlacementRequest,
         gathering: str | None,
     ) -> RunOutcome | RefusedWithReturn:
@@ -84,7 +84,7 @@
             together = await self._placer.place(attrs.evolve(ask, settled=gathering))
             if not isinstance(together, NoEngine):
                 return together
-        reads = isinstance(step, Place) and step.prefer is None
+        reads = isinstance(step, PlaceAttempt) and step.prefer is None
         if reads and self._asker.has_line(accepted.service):
             need = _line_need(accepted, life, self._timers.now)
             outcome = await self._asker.place(ask, need)
@@ -95,7 +95,7 @@
         return await self._placer.place(ask)
 
     def _gathering(
-        self, accepted: Accepted, step: Place | ResumeFrom, ask: PlacementRequest
+        self, accepted: Accepted, step: PlaceAttempt | ResumeFrom, ask: PlacementRequest
     ) -> str | None:
         """Give the engine where the returns of a request are together, if it ends engines."""
         if isinstance(step, ResumeFrom):
@@ -110,13 +110,15 @@
     def _attempt(
         self,
         accepted: Accepted,
-        step: Place | ResumeFrom,
+        step: PlaceAttempt | ResumeFrom,
         engine: ListedTarget,
         placed: Placed,
     ) -> AttemptPlan:
         ask = generation_ask(accepted)
         copy_from = step.copy if isinstance(step, ResumeFrom) else None
-        is_read = copy_from is not None or (isinstance(step, Place) and engine.id == step.prefer)
+        is_read = copy_from is not None or (
+            isinstance(step, PlaceAttempt) and engine.id == step.prefer
+        )
         copy_to = self._beliefs.targets.find(placed.copy_to) if placed.copy_to else None
         run = EngineRun(
             request=accepted.request_id,
@@ -168,7 +170,7 @@
 
 
 def _run_ask(
-    accepted: Accepted, life: StreamLifecycle, step: Place | ResumeFrom, *, copies: bool
+    accepted: Accepted, life: StreamLifecycle, step: PlaceAttempt | ResumeFrom, *, copies: bool
 ) -> PlacementRequest:
     """Give what an attempt needs; ``copies`` tells whether engines copy runs as they grow."""
     ask = generation_ask(accepted)
@@ -206,7 +208,7 @@
 
 
 def _tell_no_place(
-    life: StreamLifecycle, step: Place | ResumeFrom, outcome: Placed | NoEngine
+    life: StreamLifecycle, step: PlaceAttempt | ResumeFrom, outcome: Placed | NoEngine
 ) -> None:
     if isinstance(step, ResumeFrom):
         life.copy_unusable()
--- a/lagoonlever/gateway/stream_admission.py
+++ b/lagoonlever/gateway/stream_admission.py
@@ -12,7 +12,7 @@
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS, gives
 from lagoonlever.decisions.streams.life import (
     GiveUp,
-    Place,
+    PlaceAttempt,
     ResumeFrom,
     StreamLifecycle,
     WaitForEngine,
@@ -42,7 +42,10 @@
     _rng: random.Random
 
     def refusal(
-        self, accepted: Accepted, life: StreamLifecycle, step: Place | ResumeFrom | WaitForEngine
+        self,
+        accepted: Accepted,
+        life: StreamLifecycle,
+        step: PlaceAttempt | ResumeFrom | WaitForEngine,
     ) -> GiveUp | None:
         """Give why a step is not taken, or None where it is."""
         if not self._can_end(accepted, life, step):
@@ -56,11 +59,16 @@
         plain=gives(True),
     )
     def _can_end(
-        self, accepted: Accepted, life: StreamLifecycle, step: Place | ResumeFrom | WaitForEngine
+        self,
+        accepted: Accepted,
+        life: StreamLifecycle,
+        step: PlaceAttempt | ResumeFrom | WaitForEngine,
     ) -> bool:
         """Tell whether a stream could end in its time on an idle engine."""
         ask = accepted.caller.ask or NO_ASK
-        cached = isinstance(step, ResumeFrom) or (isinstance(step, Place) and bool(step.prefer))
+        cached = isinstance(step, ResumeFrom) or (
+            isinstance(step, PlaceAttempt) and bool(step.prefer)
+        )
         left_s = accepted.left_s(self._timers.now)
         if life.position and left_s < LEAST_LEFT_S:
             return False
--- a/lagoonlever/tests/stream_life_tests.py
+++ b/lagoonlever/tests/stream_life_tests.py
@@ -12,7 +12,7 @@
     MAX_ENGINE_ROUNDS,
     EventVerdict,
     GiveUp,
-    Place,
+    PlaceAttempt,
     ResumeFrom,
     StreamLifecycle,
     WaitForEngine,
@@ -64,7 +64,7 @@
                 return
             self.engine = step.copy.holder
         else:
-            assert isinstance(step, Place)
+            assert isinstance(step, PlaceAttempt)
             usable_engines = [name for name in ENGINES if name not in step.avoid]
             if not usable_engines:
                 self.life.no_engine()
@@ -143,7 +143,7 @@
     life = StreamLifecycle(repeatable=True, max_attempts=5)
     life.was_sent(copy=copy_at("e2"))
     life.lost("e1", "broke")
-    assert isinstance(life.next_step(), Place)
+    assert isinstance(life.next_step(), PlaceAttempt)
 
 
 def test_a_live_engine_that_lost_a_response_is_preferred_only_once() -> None:
@@ -151,11 +151,11 @@
     life.was_sent(copy=None)
     life.lost("e1", "reset", alive=True, read=True)
     first = life.next_step()
-    assert isinstance(first, Place) and first.prefer == "e1" and not first.avoid
+    assert isinstance(first, PlaceAttempt) and first.prefer == "e1" and not first.avoid
     life.was_sent(copy=None)
     life.lost("e1", "reset", alive=True, read=True)
     second = life.next_step()
-    assert isinstance(second, Place) and second.prefer is None and second.avoid == {"e1"}
+    assert isinstance(second, PlaceAttempt) and second.prefer is None and second.avoid == {"e1"}
 
 
 def test_a_stream_is_not_given_up_because_of_unreachable_engines() -> None:
@@ -166,9 +166,9 @@
     """
     life = StreamLifecycle(repeatable=True, max_attempts=MAX_ATTEMPTS)
     for number in range(19):
-        assert isinstance(life.next_step(), Place)
+        assert isinstance(life.next_step(), PlaceAttempt)
         life.unreachable(f"dead-{number}", "connection refused")
-    assert isinstance(life.next_step(), Place)
+    assert isinstance(life.next_step(), PlaceAttempt)
 
 
 def test_dead_engines_are_retried_a_few_times_with_pauses() -> None:
