--- a/lagoonlever/bench/stream_day_model.py
+++ b/lagoonlever/bench/stream_day_model.py
@@ -31,7 +31,7 @@
 from lagoonlever.decisions.streams.life import (
     GiveUp,
     PlaceAttempt,
-    ResumeFrom,
+    ResumeFromCopy,
     StreamLifecycle,
     WaitForEngine,
 )
@@ -199,7 +199,7 @@
         if isinstance(step, WaitForEngine):
             self._at(now + step.seconds, partial(self._ask, stream))
             return
-        if isinstance(step, ResumeFrom):
+        if isinstance(step, ResumeFromCopy):
             holder = self._engines.get(step.copy.holder)
             if holder is None or step.copy.holder not in self._listed:
                 stream.life.copy_unusable()
--- a/lagoonlever/decisions/streams/life.py
+++ b/lagoonlever/decisions/streams/life.py
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class ResumeFrom:
+class ResumeFromCopy:
     """Step: send the request to the engine that holds this copy, if it still accepts work."""
 
     copy: RunCopy
@@ -62,7 +62,7 @@
     """Seconds after which the caller may retry; None if it may retry at once."""
 
 
-Step = PlaceAttempt | ResumeFrom | WaitForEngine | GiveUp
+Step = PlaceAttempt | ResumeFromCopy | WaitForEngine | GiveUp
 
 
 class EventVerdict(enum.Enum):
@@ -242,7 +242,7 @@
             self._waits_for_copy_holder = False
             return WaitForEngine(seconds=BUSY_ENGINE_RETRY_S)
         if self._copy is not None:
-            return ResumeFrom(copy=self._copy)
+            return ResumeFromCopy(copy=self._copy)
         return PlaceAttempt(
             avoid=frozenset(self._avoided_engines), prefer=self._prefer, after_loss=self.sent > 0
         )
--- a/lagoonlever/gateway/attempt_planner.py
+++ b/lagoonlever/gateway/attempt_planner.py
@@ -8,7 +8,7 @@
 
 from lagoonlever.decisions.admission.room import RefusedWithReturn
 from lagoonlever.decisions.streams.booked_runs import EngineRun, RunCopy
-from lagoonlever.decisions.streams.life import PlaceAttempt, ResumeFrom, StreamLifecycle
+from lagoonlever.decisions.streams.life import PlaceAttempt, ResumeFromCopy, StreamLifecycle
 from lagoonlever.decisions.streams.run_placement import (
     RetryBudgetExhausted,
     NoEngine,
@@ -47,12 +47,12 @@
     _crashes: CrashWatch
 
     async def plan(
-        self, accepted: Accepted, life: StreamLifecycle, step: PlaceAttempt | ResumeFrom
+        self, accepted: Accepted, life: StreamLifecycle, step: PlaceAttempt | ResumeFromCopy
     ) -> AttemptPlan | RetryBudgetExhausted | Overloaded | RefusedWithReturn | None:
         """Give the attempt, or why there is none; None where the life has another step to try."""
         outcome: RunOutcome | RefusedWithReturn = NoEngine()
         gathering: str | None = None
-        if not isinstance(step, ResumeFrom) or self._holder_of(step.copy) is not None:
+        if not isinstance(step, ResumeFromCopy) or self._holder_of(step.copy) is not None:
             copies = self._beliefs.engine_limits(accepted.service).copies
             ask = _run_ask(accepted, life, step, copies=copies)
             held = self._held(accepted, life)
@@ -72,7 +72,7 @@
         self,
         accepted: Accepted,
         life: StreamLifecycle,
-        step: PlaceAttempt | ResumeFrom,
+        step: PlaceAttempt | ResumeFromCopy,
         ask: PlacementRequest,
         gathering: str | None,
     ) -> RunOutcome | RefusedWithReturn:
@@ -95,10 +95,10 @@
         return await self._placer.place(ask)
 
     def _gathering(
-        self, accepted: Accepted, step: PlaceAttempt | ResumeFrom, ask: PlacementRequest
+        self, accepted: Accepted, step: PlaceAttempt | ResumeFromCopy, ask: PlacementRequest
     ) -> str | None:
         """Give the engine where the returns of a request are together, if it ends engines."""
-        if isinstance(step, ResumeFrom):
+        if isinstance(step, ResumeFromCopy):
             return None
         return self._crashes.gathering_place(accepted, avoid=ask.avoid)
 
@@ -110,12 +110,12 @@
     def _attempt(
         self,
         accepted: Accepted,
-        step: PlaceAttempt | ResumeFrom,
+        step: PlaceAttempt | ResumeFromCopy,
         engine: ListedTarget,
         placed: Placed,
     ) -> AttemptPlan:
         ask = generation_ask(accepted)
-        copy_from = step.copy if isinstance(step, ResumeFrom) else None
+        copy_from = step.copy if isinstance(step, ResumeFromCopy) else None
         is_read = copy_from is not None or (
             isinstance(step, PlaceAttempt) and engine.id == step.prefer
         )
@@ -170,7 +170,7 @@
 
 
 def _run_ask(
-    accepted: Accepted, life: StreamLifecycle, step: PlaceAttempt | ResumeFrom, *, copies: bool
+    accepted: Accepted, life: StreamLifecycle, step: PlaceAttempt | ResumeFromCopy, *, copies: bool
 ) -> PlacementRequest:
     """Give what an attempt needs; ``copies`` tells whether engines copy runs as they grow."""
     ask = generation_ask(accepted)
@@ -186,7 +186,7 @@
         on_trial=accepted.on_trial and is_new,
         allowed_s=accepted.route.timeout_s if is_new else None,
     )
-    if isinstance(step, ResumeFrom):
+    if isinstance(step, ResumeFromCopy):
         return attrs.evolve(asked, settled=step.copy.holder)
     return attrs.evolve(
         asked,
@@ -208,9 +208,9 @@
 
 
 def _tell_no_place(
-    life: StreamLifecycle, step: PlaceAttempt | ResumeFrom, outcome: Placed | NoEngine
+    life: StreamLifecycle, step: PlaceAttempt | ResumeFromCopy, outcome: Placed | NoEngine
 ) -> None:
-    if isinstance(step, ResumeFrom):
+    if isinstance(step, ResumeFromCopy):
         life.copy_unusable()
     elif isinstance(outcome, Placed):
         life.unreachable(outcome.engine, "it is not listed here")
--- a/lagoonlever/gateway/stream_admission.py
+++ b/lagoonlever/gateway/stream_admission.py
@@ -13,7 +13,7 @@
 from lagoonlever.decisions.streams.life import (
     GiveUp,
     PlaceAttempt,
-    ResumeFrom,
+    ResumeFromCopy,
     StreamLifecycle,
     WaitForEngine,
 )
@@ -45,7 +45,7 @@
         self,
         accepted: Accepted,
         life: StreamLifecycle,
-        step: PlaceAttempt | ResumeFrom | WaitForEngine,
+        step: PlaceAttempt | ResumeFromCopy | WaitForEngine,
     ) -> GiveUp | None:
         """Give why a step is not taken, or None where it is."""
         if not self._can_end(accepted, life, step):
@@ -62,11 +62,11 @@
         self,
         accepted: Accepted,
         life: StreamLifecycle,
-        step: PlaceAttempt | ResumeFrom | WaitForEngine,
+        step: PlaceAttempt | ResumeFromCopy | WaitForEngine,
     ) -> bool:
         """Tell whether a stream could end in its time on an idle engine."""
         ask = accepted.caller.ask or NO_ASK
-        cached = isinstance(step, ResumeFrom) or (
+        cached = isinstance(step, ResumeFromCopy) or (
             isinstance(step, PlaceAttempt) and bool(step.prefer)
         )
         left_s = accepted.left_s(self._timers.now)
--- a/lagoonlever/tests/stream_life_tests.py
+++ b/lagoonlever/tests/stream_life_tests.py
@@ -13,7 +13,7 @@
     EventVerdict,
     GiveUp,
     PlaceAttempt,
-    ResumeFrom,
+    ResumeFromCopy,
     StreamLifecycle,
     WaitForEngine,
 )
@@ -57,7 +57,7 @@
             self.waits += 1
             assert self.life.begun or self.waits <= MAX_ENGINE_ROUNDS
             return
-        if isinstance(step, ResumeFrom):
+        if isinstance(step, ResumeFromCopy):
             assert step.copy == self.copy
             if not usable:
                 self.life.copy_unusable()
