--- a/lagoonlever/decisions/streams/life.py
+++ b/lagoonlever/decisions/streams/life.py
@@ -108,7 +108,7 @@
 
 
 @attrs.define(kw_only=True)
-class StreamPace:
+class StreamTiming:
     """Timing of a stream's events as its caller sees it, over all attempts.
 
     Points in time are seconds of the monotonic clock.
@@ -174,7 +174,7 @@
     """Number of attempts that an engine may have run: those sent and not refused."""
     sent: int = 0
     """Number of attempts that were sent to an engine."""
-    pace: StreamPace = attrs.field(factory=StreamPace)
+    pace: StreamTiming = attrs.field(factory=StreamTiming)
     _refusals: int = 0
     _avoided_engines: set[str] = attrs.field(factory=set)
     _copy: RunCopy | None = None
