--- a/lagoonlever/bench/placing_fleet.py
+++ b/lagoonlever/bench/placing_fleet.py
@@ -8,7 +8,7 @@
 
 from lagoonlever.bench.local_fleet import PLACES, Fleet, FleetVm
 from lagoonlever.decisions.settings.configuration import Configuration, EngineLimits, TargetService
-from lagoonlever.decisions.streams.booked_runs import EngineRun, RunCopy
+from lagoonlever.decisions.streams.engine_runs import EngineRun, RunCopy
 from lagoonlever.decisions.streams.run_placement import Placed, PlacementRequest
 from lagoonlever.decisions.targets.listed_target import ListedTarget
 from lagoonlever.gateway.cache_locator import CacheLocator
--- a/lagoonlever/bench/stream_day_model.py
+++ b/lagoonlever/bench/stream_day_model.py
@@ -27,7 +27,7 @@
 from lagoonlever.decisions.admission.prompt_admission import admits, come_back_s, most_share
 from lagoonlever.decisions.engines.engine_book import EngineBook
 from lagoonlever.decisions.settings.configuration import EngineLimits
-from lagoonlever.decisions.streams.booked_runs import EngineRun, RunCopy
+from lagoonlever.decisions.streams.engine_runs import EngineRun, RunCopy
 from lagoonlever.decisions.streams.life import (
     GiveUp,
     PlaceAttempt,
--- a/lagoonlever/bench/stream_day_types.py
+++ b/lagoonlever/bench/stream_day_types.py
@@ -7,7 +7,7 @@
 from lagoonlever.bench.engine_model import EngineFigures, ModelEngine, ModelRun
 from lagoonlever.config.options import option
 from lagoonlever.decisions.engines.engine_book import COPIES_MOST
-from lagoonlever.decisions.streams.booked_runs import RunCopy
+from lagoonlever.decisions.streams.engine_runs import RunCopy
 from lagoonlever.decisions.streams.life import StreamLifecycle
 
 MOST_EVENTS = 190
--- a/lagoonlever/decisions/engines/engine_book.py
+++ b/lagoonlever/decisions/engines/engine_book.py
@@ -32,7 +32,7 @@
 from lagoonlever.decisions.engines.uneven_engines import UnevenChoice, UnevenEngines
 from lagoonlever.decisions.settings.configuration import EngineLimits
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS, gives
-from lagoonlever.decisions.streams.booked_runs import EngineRun, RunCopy
+from lagoonlever.decisions.streams.engine_runs import EngineRun, RunCopy
 from lagoonlever.decisions.streams.run_records import RunRecord, RunRecords
 from lagoonlever.decisions.targets.listed_target import ListedTarget
 from lagoonlever.decisions.targets.load_view import TargetLoads
--- a/lagoonlever/decisions/fleet/update_routing.py
+++ b/lagoonlever/decisions/fleet/update_routing.py
@@ -13,7 +13,7 @@
 
 from lagoonlever.decisions.fleet.peer_table import PeerState
 from lagoonlever.decisions.fleet.roles import Roles
-from lagoonlever.decisions.streams.booked_runs import EngineRun
+from lagoonlever.decisions.streams.engine_runs import EngineRun
 
 MAX_DIRECT_VMS = 120
 """Up to this many VMs each tells all others itself.
--- a/lagoonlever/decisions/streams/life.py
+++ b/lagoonlever/decisions/streams/life.py
@@ -12,7 +12,7 @@
 
 import attrs
 
-from lagoonlever.decisions.streams.booked_runs import RunCopy
+from lagoonlever.decisions.streams.engine_runs import RunCopy
 
 NO_ENGINE_RETRY_S = 0.1
 """Interval in seconds at which a stream looks for an engine again while none can be chosen."""
--- a/lagoonlever/decisions/streams/run_placement.py
+++ b/lagoonlever/decisions/streams/run_placement.py
@@ -23,7 +23,7 @@
 from lagoonlever.decisions.engines.engine_book import EngineBook
 from lagoonlever.decisions.engines.uneven_engines import UnevenChoice
 from lagoonlever.decisions.settings.configuration import EngineLimits
-from lagoonlever.decisions.streams.booked_runs import EngineRun
+from lagoonlever.decisions.streams.engine_runs import EngineRun
 from lagoonlever.decisions.targets.listed_target import ListedTarget
 from lagoonlever.decisions.targets.registry import TargetRegistry
 
--- a/lagoonlever/decisions/streams/run_records.py
+++ b/lagoonlever/decisions/streams/run_records.py
@@ -11,7 +11,7 @@
 
 import attrs
 
-from lagoonlever.decisions.streams.booked_runs import EngineRun
+from lagoonlever.decisions.streams.engine_runs import EngineRun
 
 RESERVATION_S = 1.0
 """How long a placement is reserved for a run of another VM.
--- a/lagoonlever/gateway/attempt_planner.py
+++ b/lagoonlever/gateway/attempt_planner.py
@@ -7,7 +7,7 @@
 import attrs
 
 from lagoonlever.decisions.admission.room import RefusedWithReturn
-from lagoonlever.decisions.streams.booked_runs import EngineRun, RunCopy
+from lagoonlever.decisions.streams.engine_runs import EngineRun, RunCopy
 from lagoonlever.decisions.streams.life import PlaceAttempt, ResumeFromCopy, StreamLifecycle
 from lagoonlever.decisions.streams.run_placement import (
     RetryBudgetExhausted,
--- a/lagoonlever/gateway/attempt_tools.py
+++ b/lagoonlever/gateway/attempt_tools.py
@@ -6,7 +6,7 @@
 
 from lagoonlever.decisions.engines.correlated_loss import CorrelatedLoss
 from lagoonlever.decisions.settings.configuration import EngineLimits
-from lagoonlever.decisions.streams.booked_runs import EngineRun, RunCopy
+from lagoonlever.decisions.streams.engine_runs import EngineRun, RunCopy
 from lagoonlever.decisions.streams.silence import SilenceDetector
 from lagoonlever.decisions.targets.listed_target import ListedTarget
 from lagoonlever.gateway.beliefs import Beliefs
--- a/lagoonlever/gateway/messages.py
+++ b/lagoonlever/gateway/messages.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from lagoonlever.decisions.streams.booked_runs import RunCopy
+from lagoonlever.decisions.streams.engine_runs import RunCopy
 from lagoonlever.decisions.targets.told_load import ToldLoad
 from lagoonlever.http.messages import Address
 
--- a/lagoonlever/gateway/peers.py
+++ b/lagoonlever/gateway/peers.py
@@ -9,7 +9,7 @@
 
 from lagoonlever.decisions.fleet.roles import Roles
 from lagoonlever.decisions.fleet.update_routing import placement_hubs, sends_directly
-from lagoonlever.decisions.streams.booked_runs import EngineRun, RunCopy
+from lagoonlever.decisions.streams.engine_runs import EngineRun, RunCopy
 from lagoonlever.gateway.beliefs import Beliefs
 from lagoonlever.gateway.learner import Learner
 from lagoonlever.gateway.retry_budgets import RetryBudgets
--- a/lagoonlever/gateway/run_copier.py
+++ b/lagoonlever/gateway/run_copier.py
@@ -7,7 +7,7 @@
 import attrs
 import msgspec
 
-from lagoonlever.decisions.streams.booked_runs import RunCopy
+from lagoonlever.decisions.streams.engine_runs import RunCopy
 from lagoonlever.decisions.targets.listed_target import ListedTarget
 from lagoonlever.exceptions import PeerError
 from lagoonlever.http.client import Pool, fetch
--- a/lagoonlever/gateway/run_relay.py
+++ b/lagoonlever/gateway/run_relay.py
@@ -25,7 +25,7 @@
 from lagoonlever.decisions.fleet.peer_table import PeerState
 from lagoonlever.decisions.fleet.roles import Roles
 from lagoonlever.decisions.fleet.update_routing import sends_directly, vms_affected_by_losses
-from lagoonlever.decisions.streams.booked_runs import EngineRun
+from lagoonlever.decisions.streams.engine_runs import EngineRun
 from lagoonlever.gateway import events
 from lagoonlever.gateway.beliefs import Beliefs
 from lagoonlever.peers.compression import UnreadablePack, pack, unpack
--- a/lagoonlever/gateway/stream_attempt.py
+++ b/lagoonlever/gateway/stream_attempt.py
@@ -9,7 +9,7 @@
 from lagoonlever.decisions.engines.crash_ends import BEGAN, WAITED
 from lagoonlever.decisions.engines.engine_rank import rank_at_engine
 from lagoonlever.decisions.engines.engine_reports import is_preempted
-from lagoonlever.decisions.streams.booked_runs import RunCopy
+from lagoonlever.decisions.streams.engine_runs import RunCopy
 from lagoonlever.decisions.streams.life import EventVerdict, StreamLifecycle
 from lagoonlever.decisions.streams.silence import (
     PAUSE_ALLOWED_S,
--- a/lagoonlever/peers/messages_gateway.py
+++ b/lagoonlever/peers/messages_gateway.py
@@ -11,7 +11,7 @@
 import attrs
 
 from lagoonlever.decisions.fleet.peer_table import PeerState
-from lagoonlever.decisions.streams.booked_runs import EngineRun, RunCopy
+from lagoonlever.decisions.streams.engine_runs import EngineRun, RunCopy
 from lagoonlever.decisions.targets.listed_target import ListedTarget, TargetChange
 from lagoonlever.decisions.targets.load_view import MOMENT_S
 from lagoonlever.decisions.targets.told_load import LoadWord, ToldLoad
--- a/lagoonlever/peers/messages_placement.py
+++ b/lagoonlever/peers/messages_placement.py
@@ -9,7 +9,7 @@
 import attrs
 
 from lagoonlever.decisions.engines.engine_paces import KeptPace
-from lagoonlever.decisions.streams.booked_runs import EngineRun
+from lagoonlever.decisions.streams.engine_runs import EngineRun
 from lagoonlever.decisions.streams.run_placement import (
     RetryBudgetExhausted,
     NoEngine,
--- a/lagoonlever/tests/copy_room_tests.py
+++ b/lagoonlever/tests/copy_room_tests.py
@@ -12,7 +12,7 @@
 from lagoonlever.decisions.engines.engine_book import COPIES_MOST, EngineBook
 from lagoonlever.decisions.settings.configuration import EngineLimits
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS
-from lagoonlever.decisions.streams.booked_runs import EngineRun
+from lagoonlever.decisions.streams.engine_runs import EngineRun
 from lagoonlever.decisions.targets.listed_target import ListedTarget
 from lagoonlever.http.messages import Address
 
--- a/lagoonlever/tests/engine_paces_tests.py
+++ b/lagoonlever/tests/engine_paces_tests.py
@@ -9,7 +9,7 @@
 
 from lagoonlever.decisions.engines.engine_book import EngineBook
 from lagoonlever.decisions.engines.engine_paces import PRIOR_PROMPT_TOKEN_S, EnginePaces
-from lagoonlever.decisions.streams.booked_runs import EngineRun
+from lagoonlever.decisions.streams.engine_runs import EngineRun
 from lagoonlever.decisions.streams.time import least_time_s
 from lagoonlever.tests.engine_book_tests import ENGINES, LIMITS
 
--- a/lagoonlever/tests/gateway_presence_tests.py
+++ b/lagoonlever/tests/gateway_presence_tests.py
@@ -17,7 +17,7 @@
     start_many,
 )
 from lagoonlever.decisions.fleet.update_routing import MAX_DIRECT_VMS
-from lagoonlever.decisions.streams.booked_runs import EngineRun, RunCopy
+from lagoonlever.decisions.streams.engine_runs import EngineRun, RunCopy
 from lagoonlever.decisions.targets.listed_target import ListedTarget
 from lagoonlever.gateway.run_relay import RunRelay
 from lagoonlever.http.messages import Address
--- a/lagoonlever/tests/run_placement_tests.py
+++ b/lagoonlever/tests/run_placement_tests.py
@@ -10,7 +10,7 @@
 from lagoonlever.decisions.admission.retry_window import RetryWindow
 from lagoonlever.decisions.engines.engine_book import EngineBook
 from lagoonlever.decisions.settings.configuration import EngineLimits
-from lagoonlever.decisions.streams.booked_runs import EngineRun
+from lagoonlever.decisions.streams.engine_runs import EngineRun
 from lagoonlever.decisions.streams.run_placement import (
     RetryBudgetExhausted,
     NoEngine,
--- a/lagoonlever/tests/stream_life_tests.py
+++ b/lagoonlever/tests/stream_life_tests.py
@@ -7,7 +7,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 from hypothesis.stateful import run_state_machine_as_test as run_machine
 
-from lagoonlever.decisions.streams.booked_runs import RunCopy
+from lagoonlever.decisions.streams.engine_runs import RunCopy
 from lagoonlever.decisions.streams.life import (
     MAX_ENGINE_ROUNDS,
     EventVerdict,
--- a/lagoonlever/tests/uneven_engines_tests.py
+++ b/lagoonlever/tests/uneven_engines_tests.py
@@ -17,7 +17,7 @@
 from lagoonlever.decisions.engines.uneven_engines import UnevenEngines
 from lagoonlever.decisions.settings.configuration import EngineLimits
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS
-from lagoonlever.decisions.streams.booked_runs import EngineRun
+from lagoonlever.decisions.streams.engine_runs import EngineRun
 from lagoonlever.decisions.targets.listed_target import ListedTarget
 from lagoonlever.decisions.targets.load_estimate import LoadSource
 from lagoonlever.decisions.targets.load_view import TargetLoads
