--- a/lagoonlever/decisions/streams/time.py
+++ b/lagoonlever/decisions/streams/time.py
@@ -17,7 +17,7 @@
 """
 
 
-def least_time_s(
+def min_time_s(
     *,
     pace: Pace,
     prompt_tokens: int,
--- a/lagoonlever/gateway/stream_admission.py
+++ b/lagoonlever/gateway/stream_admission.py
@@ -18,7 +18,7 @@
     WaitForEngine,
 )
 from lagoonlever.decisions.streams.run_placement import Overloaded
-from lagoonlever.decisions.streams.time import least_time_s
+from lagoonlever.decisions.streams.time import min_time_s
 from lagoonlever.gateway import events
 from lagoonlever.gateway.accepted import Accepted
 from lagoonlever.gateway.beliefs import Beliefs
@@ -72,7 +72,7 @@
         left_s = accepted.left_s(self._timers.now)
         if life.position and left_s < LEAST_LEFT_S:
             return False
-        least_s = least_time_s(
+        least_s = min_time_s(
             pace=self._beliefs.book.paces.fastest(accepted.service),
             prompt_tokens=ask.prompt_tokens,
             output_tokens=ask.expected_tokens,
--- a/lagoonlever/tests/engine_paces_tests.py
+++ b/lagoonlever/tests/engine_paces_tests.py
@@ -10,7 +10,7 @@
 from lagoonlever.decisions.engines.engine_book import EngineBook
 from lagoonlever.decisions.engines.engine_paces import PRIOR_PROMPT_TOKEN_S, EnginePaces
 from lagoonlever.decisions.streams.engine_runs import EngineRun
-from lagoonlever.decisions.streams.time import least_time_s
+from lagoonlever.decisions.streams.time import min_time_s
 from lagoonlever.tests.engine_book_tests import ENGINES, LIMITS
 
 SERVICE = "engines"
@@ -28,7 +28,7 @@
 
 
 def needed_s(paces: EnginePaces, *, position: int = 0, cached: bool = False) -> float:
-    return least_time_s(
+    return min_time_s(
         pace=paces.fastest(SERVICE),
         prompt_tokens=PROMPT,
         output_tokens=OUTPUT,
