--- a/lagoonlever/decisions/streams/orphans.py
+++ b/lagoonlever/decisions/streams/orphans.py
@@ -57,7 +57,7 @@
             if stream_id not in self._reported_to and now - since >= RECORD_AFTER_S
         ]
 
-    def told(self, stream_id: str, holder: Incarnation) -> None:
+    def record_report(self, stream_id: str, holder: Incarnation) -> None:
         """Record that a stream was reported to the peer ``holder``."""
         self._reported_to[stream_id] = holder
 
--- a/lagoonlever/entry/generations/orphans.py
+++ b/lagoonlever/entry/generations/orphans.py
@@ -70,7 +70,7 @@
             stream = open_streams[name]
             for holder in holders(stream.request_id, view, count=1):
                 by_holder[holder].append(StreamRecord(stream_id=name, engine=stream.engine))
-                self._reporter.told(name, holder.incarnation)
+                self._reporter.record_report(name, holder.incarnation)
         for holder, records in by_holder.items():
             message = StreamsOpened(records=tuple(records))
             self._bus.send(holder.peers, message, expected=holder.incarnation)
