--- a/lagoonlever/decisions/streams/orphans.py
+++ b/lagoonlever/decisions/streams/orphans.py
@@ -80,7 +80,7 @@
         """The number of records."""
         return len(self._records)
 
-    def opened(self, record: StreamRecord, *, owner: Incarnation, now: float) -> None:
+    def add_record(self, record: StreamRecord, *, owner: Incarnation, now: float) -> None:
         """Add a record; a later owner of the same stream replaces the previous one."""
         self._records[record.stream_id] = _KeptRecord(record=record, owner=owner, reported_at=now)
 
--- a/lagoonlever/entry/generations/orphans.py
+++ b/lagoonlever/entry/generations/orphans.py
@@ -89,7 +89,7 @@
     async def _hear_opened(self) -> None:
         async for received in self._bus.subscribe(StreamsOpened):
             for record in received.message.records:
-                self._holder.opened(record, owner=received.sender, now=self._timers.now)
+                self._holder.add_record(record, owner=received.sender, now=self._timers.now)
 
     async def _hear_closed(self) -> None:
         async for received in self._bus.subscribe(StreamsClosed):
--- a/lagoonlever/tests/orphans_tests.py
+++ b/lagoonlever/tests/orphans_tests.py
@@ -55,7 +55,7 @@
             return
         self.owners[stream] = owner
         record = StreamRecord(stream_id=stream, engine=ADDRESS)
-        self.holder.opened(record, owner=owner, now=self.now)
+        self.holder.add_record(record, owner=owner, now=self.now)
 
     @rule(stream=st.sampled_from(STREAMS), name=st.sampled_from(NAMES))
     def close(self, stream: str, name: str) -> None:
