--- a/lagoonlever/decisions/streams/orphans.py
+++ b/lagoonlever/decisions/streams/orphans.py
@@ -84,7 +84,7 @@
         """Add a record; a later owner of the same stream replaces the previous one."""
         self._records[record.stream_id] = _KeptRecord(record=record, owner=owner, reported_at=now)
 
-    def closed(self, stream_ids: Iterable[str], *, owner: Incarnation) -> None:
+    def remove_records(self, stream_ids: Iterable[str], *, owner: Incarnation) -> None:
         """Remove the records of streams whose owner reports that they have ended.
 
         Only the last owner of a stream can do so: when a stream was taken over, its previous
--- a/lagoonlever/entry/generations/orphans.py
+++ b/lagoonlever/entry/generations/orphans.py
@@ -93,4 +93,4 @@
 
     async def _hear_closed(self) -> None:
         async for received in self._bus.subscribe(StreamsClosed):
-            self._holder.closed(received.message.stream_ids, owner=received.sender)
+            self._holder.remove_records(received.message.stream_ids, owner=received.sender)
--- a/lagoonlever/tests/orphans_tests.py
+++ b/lagoonlever/tests/orphans_tests.py
@@ -60,7 +60,7 @@
     @rule(stream=st.sampled_from(STREAMS), name=st.sampled_from(NAMES))
     def close(self, stream: str, name: str) -> None:
         owner = incarnation(name, self.incarnations[name])
-        self.holder.closed([stream], owner=owner)
+        self.holder.remove_records([stream], owner=owner)
         if self.owners.get(stream) == owner:
             del self.owners[stream]
 
