--- a/lagoonlever/decisions/streams/placement.py
+++ b/lagoonlever/decisions/streams/placement.py
@@ -19,7 +19,7 @@
     return xxhash.xxh3_64_intdigest(f"{request_id}|{name}".encode())
 
 
-def holders(request_id: str, view: MemberView, *, count: int) -> tuple[Member, ...]:
+def select_record_holders(request_id: str, view: MemberView, *, count: int) -> tuple[Member, ...]:
     """Return up to ``count`` members to keep a record for this VM, best first.
 
     This VM is excluded. Members of other data centres come first, so that the record
--- a/lagoonlever/entry/generations/orphans.py
+++ b/lagoonlever/entry/generations/orphans.py
@@ -10,7 +10,7 @@
 
 from lagoonlever.decisions.membership.membership import Member, MemberView
 from lagoonlever.decisions.streams.orphans import OrphanRegistry, StreamRecord, StreamReporter
-from lagoonlever.decisions.streams.placement import holders
+from lagoonlever.decisions.streams.placement import select_record_holders
 from lagoonlever.entry.engines.engines import Engines
 from lagoonlever.entry.generations.attempt import cancel_stream
 from lagoonlever.events import event
@@ -68,7 +68,7 @@
         since = {name: stream.since for name, stream in open_streams.items()}
         for name in self._reporter.due(since, now):
             stream = open_streams[name]
-            for holder in holders(stream.request_id, view, count=1):
+            for holder in select_record_holders(stream.request_id, view, count=1):
                 by_holder[holder].append(StreamRecord(stream_id=name, engine=stream.engine))
                 self._reporter.record_report(name, holder.incarnation)
         for holder, records in by_holder.items():
--- a/lagoonlever/tests/placement_tests.py
+++ b/lagoonlever/tests/placement_tests.py
@@ -11,7 +11,7 @@
 
 from lagoonlever.decisions.fleet.addresses import AddressesSettings, choose_entry_addresses
 from lagoonlever.decisions.membership.membership import Member, MemberState, MemberView
-from lagoonlever.decisions.streams.placement import holders
+from lagoonlever.decisions.streams.placement import select_record_holders
 from lagoonlever.http.messages import Address
 from lagoonlever.identity import Incarnation
 
@@ -52,9 +52,11 @@
     """
     writer = data.draw(st.integers(0, len(fleet) - 1))
     unseen = data.draw(st.integers(0, len(fleet) - 1).filter(lambda i: i != writer))
-    chosen = holders(request_id, view(fleet, writer), count=count)
+    chosen = select_record_holders(request_id, view(fleet, writer), count=count)
     seen = [m for i, m in enumerate(fleet) if i != unseen]
-    chosen_with_fewer = holders(request_id, view(seen, seen.index(fleet[writer])), count=count)
+    chosen_with_fewer = select_record_holders(
+        request_id, view(seen, seen.index(fleet[writer])), count=count
+    )
 
     assert fleet[writer] not in chosen
     assert len(set(chosen)) == len(chosen) == min(count, len(fleet) - 1)
@@ -65,7 +67,7 @@
 def test_records_are_kept_in_other_data_centers() -> None:
     fleet = [member(i, f"dc-{i % 3}") for i in range(9)]
     for request in range(50):
-        chosen = holders(f"r{request}", view(fleet), count=2)
+        chosen = select_record_holders(f"r{request}", view(fleet), count=2)
         assert {m.data_center for m in chosen} == {"dc-1", "dc-2"}
 
 
