--- a/lagoonlever/decisions/streams/life.py
+++ b/lagoonlever/decisions/streams/life.py
@@ -343,7 +343,7 @@
         """Record that the open attempt was moved to a better engine before its first event."""
         self._moves += 1
 
-    def event(self, event_id: int | None) -> EventVerdict:
+    def check_event(self, event_id: int | None) -> EventVerdict:
         """Return what to do with an event, and advance ``position`` if it is the next one.
 
         An event without a number is forwarded.
--- a/lagoonlever/gateway/stream_attempt.py
+++ b/lagoonlever/gateway/stream_attempt.py
@@ -364,7 +364,7 @@
 
     async def _pass_on(self, arrived: list[RawEvent], silence: SilenceDetector) -> None:
         for event in arrived:
-            verdict = self._life.event(event.id)
+            verdict = self._life.check_event(event.id)
             if verdict is EventVerdict.OUT_OF_ORDER:
                 raise _Ended(f"event {event.id} came after {self._life.position}")
             if verdict is EventVerdict.FORWARD:
--- a/lagoonlever/tests/stream_life_tests.py
+++ b/lagoonlever/tests/stream_life_tests.py
@@ -93,7 +93,7 @@
     @rule(offset=st.integers(-2, 2))
     def event(self, offset: int) -> None:
         number = max(1, (self.life.position or 0) + offset)
-        verdict = self.life.event(number)
+        verdict = self.life.check_event(number)
         if verdict is EventVerdict.FORWARD:
             self.life.begun = True
             self.life.flows()
