--- a/lagoonlever/decisions/streams/life.py
+++ b/lagoonlever/decisions/streams/life.py
@@ -294,7 +294,7 @@
         self._copy_of_open_attempt = copy
         self.pace.attempt_begins()
 
-    def flows(self) -> None:
+    def record_first_event(self) -> None:
         """Record the first event of the open attempt: its copy can be used from now on."""
         self._copy = self._copy_of_open_attempt
 
--- a/lagoonlever/gateway/stream_attempt.py
+++ b/lagoonlever/gateway/stream_attempt.py
@@ -378,7 +378,7 @@
         if not self._flowing:
             self._flowing = self._copies.flowing = True
             self._counts.first_event(now, sent_at=self._started)
-            self._life.flows()
+            self._life.record_first_event()
             self._peers.flows(self._accepted.request_id)
             events.FIRST_EVENT.log(
                 log,
--- a/lagoonlever/tests/stream_life_tests.py
+++ b/lagoonlever/tests/stream_life_tests.py
@@ -96,7 +96,7 @@
         verdict = self.life.check_event(number)
         if verdict is EventVerdict.FORWARD:
             self.life.begun = True
-            self.life.flows()
+            self.life.record_first_event()
             self.copy = self.growing
             self.flowing = True
             self.delivered.append(number)
