--- a/lagoonlever/decisions/streams/life.py
+++ b/lagoonlever/decisions/streams/life.py
@@ -282,7 +282,7 @@
         if not self._waits_for_copy_holder:
             self._copy = None
 
-    def was_sent(self, *, copy: RunCopy | None) -> None:
+    def record_sent(self, *, copy: RunCopy | None) -> None:
         """Record that a request is being written to an engine, which may run it from now on.
 
         ``copy`` is the copy that the engine keeps of this attempt, if any.
--- a/lagoonlever/gateway/stream_attempt.py
+++ b/lagoonlever/gateway/stream_attempt.py
@@ -171,7 +171,7 @@
     async def _exchange(self, connection: ClientConnection) -> AnswerHead | None:
         """Write and relay; gives the head if the connection may be kept."""
         plan = self._plan
-        self._life.was_sent(copy=plan.run.copy)
+        self._life.record_sent(copy=plan.run.copy)
         ticket = self._tools.words.sent(plan.engine.id, first=self._life.sent == 1)
         self._peers.begin(plan.run)
         self._log_sent()
--- a/lagoonlever/tests/stream_life_tests.py
+++ b/lagoonlever/tests/stream_life_tests.py
@@ -73,7 +73,7 @@
         self.copy = None
         self.flowing = False
         self.growing = copy_at(holder) if holder else None
-        self.life.was_sent(copy=self.growing)
+        self.life.record_sent(copy=self.growing)
         self.ran += 1
 
     @precondition(lambda self: self.engine is not None and not self.flowing)
@@ -141,18 +141,18 @@
 def test_a_copy_is_used_only_after_the_first_event() -> None:
     """An engine makes no copy before a run's first event, so a resume from it is refused."""
     life = StreamLifecycle(repeatable=True, max_attempts=5)
-    life.was_sent(copy=copy_at("e2"))
+    life.record_sent(copy=copy_at("e2"))
     life.lost("e1", "broke")
     assert isinstance(life.next_step(), PlaceAttempt)
 
 
 def test_a_live_engine_that_lost_a_response_is_preferred_only_once() -> None:
     life = StreamLifecycle(repeatable=True, max_attempts=5)
-    life.was_sent(copy=None)
+    life.record_sent(copy=None)
     life.lost("e1", "reset", alive=True, read=True)
     first = life.next_step()
     assert isinstance(first, PlaceAttempt) and first.prefer == "e1" and not first.avoid
-    life.was_sent(copy=None)
+    life.record_sent(copy=None)
     life.lost("e1", "reset", alive=True, read=True)
     second = life.next_step()
     assert isinstance(second, PlaceAttempt) and second.prefer is None and second.avoid == {"e1"}
