--- a/lagoonlever/decisions/streams/life.py
+++ b/lagoonlever/decisions/streams/life.py
@@ -310,7 +310,9 @@
         self._copy = None
         self._detail = detail
 
-    def lost(self, engine: str, detail: str, *, alive: bool = False, read: bool = False) -> None:
+    def record_loss(
+        self, engine: str, detail: str, *, alive: bool = False, read: bool = False
+    ) -> None:
         """Record that an attempt broke off; its copy, if any, is kept to resume from.
 
         An engine that is ``alive`` and has prefilled the prompt (``read``) lost only the
--- a/lagoonlever/gateway/stream_attempt.py
+++ b/lagoonlever/gateway/stream_attempt.py
@@ -409,7 +409,7 @@
         self._count("lost" if alive else "target-gone")
         if alive:
             self._counts.failed()
-        self._life.lost(engine.id, str(ended), alive=alive, read=self._has_read)
+        self._life.record_loss(engine.id, str(ended), alive=alive, read=self._has_read)
         if alive:
             self._tools.beliefs.book.avoidance.broke(engine.id, self._now)
         else:
--- a/lagoonlever/tests/stream_life_tests.py
+++ b/lagoonlever/tests/stream_life_tests.py
@@ -86,7 +86,7 @@
     @precondition(lambda self: self.engine is not None)
     @rule(alive=st.booleans())
     def lost(self, alive: bool) -> None:
-        self.life.lost(self.engine or "", "broke", alive=alive, read=True)
+        self.life.record_loss(self.engine or "", "broke", alive=alive, read=True)
         self.engine = None
 
     @precondition(lambda self: self.engine is not None)
@@ -101,7 +101,7 @@
             self.flowing = True
             self.delivered.append(number)
         if verdict is EventVerdict.OUT_OF_ORDER:
-            self.life.lost(self.engine or "", "skipped")
+            self.life.record_loss(self.engine or "", "skipped")
             self.engine = None
 
     @precondition(lambda self: self.given_up is not None)
@@ -142,18 +142,18 @@
     """An engine makes no copy before a run's first event, so a resume from it is refused."""
     life = StreamLifecycle(repeatable=True, max_attempts=5)
     life.record_sent(copy=copy_at("e2"))
-    life.lost("e1", "broke")
+    life.record_loss("e1", "broke")
     assert isinstance(life.next_step(), PlaceAttempt)
 
 
 def test_a_live_engine_that_lost_a_response_is_preferred_only_once() -> None:
     life = StreamLifecycle(repeatable=True, max_attempts=5)
     life.record_sent(copy=None)
-    life.lost("e1", "reset", alive=True, read=True)
+    life.record_loss("e1", "reset", alive=True, read=True)
     first = life.next_step()
     assert isinstance(first, PlaceAttempt) and first.prefer == "e1" and not first.avoid
     life.record_sent(copy=None)
-    life.lost("e1", "reset", alive=True, read=True)
+    life.record_loss("e1", "reset", alive=True, read=True)
     second = life.next_step()
     assert isinstance(second, PlaceAttempt) and second.prefer is None and second.avoid == {"e1"}
 
