--- a/lagoonlever/decisions/streams/life.py
+++ b/lagoonlever/decisions/streams/life.py
@@ -302,7 +302,7 @@
         """Record an on-demand copy of the open attempt."""
         self._copy = copy
 
-    def refused(self, engine: str, detail: str) -> None:
+    def record_refusal(self, engine: str, detail: str) -> None:
         """Record that an engine refused the request, and so has not run it."""
         self.runs -= 1
         self._refusals += 1
--- a/lagoonlever/gateway/stream_attempt.py
+++ b/lagoonlever/gateway/stream_attempt.py
@@ -344,7 +344,7 @@
         if head.refused:
             self._count("refused")
             detail = f"refused with {head.status}"
-            self._life.refused(engine.id, detail)
+            self._life.record_refusal(engine.id, detail)
             if head.target_id is not None and head.target_id != engine.id:
                 self._peers.engine_lost(engine.id, replaced=True)
                 self._tools.replacements.answered(engine.id, head.target_id)
--- a/lagoonlever/tests/stream_life_tests.py
+++ b/lagoonlever/tests/stream_life_tests.py
@@ -79,7 +79,7 @@
     @precondition(lambda self: self.engine is not None and not self.flowing)
     @rule()
     def refused(self) -> None:
-        self.life.refused(self.engine or "", "full")
+        self.life.record_refusal(self.engine or "", "full")
         self.ran -= 1
         self.engine = None
 
