--- a/lagoonlever/decisions/streams/life.py
+++ b/lagoonlever/decisions/streams/life.py
@@ -298,7 +298,7 @@
         """Record the first event of the open attempt: its copy can be used from now on."""
         self._copy = self._copy_of_open_attempt
 
-    def copied(self, copy: RunCopy) -> None:
+    def record_copy(self, copy: RunCopy) -> None:
         """Record an on-demand copy of the open attempt."""
         self._copy = copy
 
--- a/lagoonlever/gateway/stream_attempt.py
+++ b/lagoonlever/gateway/stream_attempt.py
@@ -455,7 +455,7 @@
             raise _Moved
 
     def _copied(self, copy: RunCopy) -> None:
-        self._life.copied(copy)
+        self._life.record_copy(copy)
         self._peers.copied(self._accepted.request_id, copy)
 
     def _hop(self) -> Hop:
