--- a/lagoonlever/decisions/streams/life.py
+++ b/lagoonlever/decisions/streams/life.py
@@ -341,7 +341,7 @@
         """Whether the open attempt may be moved to a better engine."""
         return self.may_repeat and self._moves < MAX_MOVES
 
-    def moved(self) -> None:
+    def record_move(self) -> None:
         """Record that the open attempt was moved to a better engine before its first event."""
         self._moves += 1
 
--- a/lagoonlever/gateway/stream_attempt.py
+++ b/lagoonlever/gateway/stream_attempt.py
@@ -141,7 +141,7 @@
             await self._lost(ended)
         except _Moved:
             self._count("moved")
-            self._life.moved()
+            self._life.record_move()
             self._log_end("left for a better place")
         except _CalledBack:
             self._count("called-back")
--- a/lagoonlever/tests/generation_harness.py
+++ b/lagoonlever/tests/generation_harness.py
@@ -37,7 +37,7 @@
     return attrs.evolve(base, **changes)
 
 
-def life(
+def lifecycle(
     cls: type[GenerationLifecycle] = GenerationLifecycle, **options: object
 ) -> GenerationLifecycle:
     defaults = {"spec": spec(), "limits": GenerationLimits(attempts=50), "rng": random.Random(3)}
@@ -70,20 +70,20 @@
         )
         self.decoder = TextDecoder(prompt=start)
 
-    def step(self, life: GenerationLifecycle) -> list[Decision]:
+    def step(self, lifecycle: GenerationLifecycle) -> list[Decision]:
         """Pass the next token to the state machine and return its decisions."""
         attempt = self.dispatch.attempt
         decisions: list[Decision] = []
         if not self.opened:
             self.opened = True
-            decisions += life.opened(
+            decisions += lifecycle.opened(
                 attempt=attempt, model_version=self.version, prompt_token_ids=PROMPT
             )
         token_id = next_token(self.state)
         self.state = self.state.extended(token_id)
         self.sent += 1
         done = self.sent >= self.dispatch.max_tokens
-        return decisions + life.chunk(
+        return decisions + lifecycle.chunk(
             attempt=attempt,
             token_ids=(token_id,),
             text=self.decoder.feed(token_id),
@@ -98,7 +98,7 @@
     So a test can let a cancelled stream send late tokens.
     """
 
-    life: GenerationLifecycle
+    lifecycle: GenerationLifecycle
     streams: dict[int, EngineStream] = attrs.field(factory=dict)
     released: list[int] = attrs.field(factory=list)
     restarts: int = 0
@@ -112,8 +112,8 @@
                     version = self.versions[len(self.streams) % len(self.versions)]
                     self.streams[decision.attempt] = EngineStream(decision, version)
                     name = f"engine-{len(self.streams)}"
-                    self.life.placed(attempt=decision.attempt, target=name)
-                    self.life.dispatched(attempt=decision.attempt)
+                    self.lifecycle.placed(attempt=decision.attempt, target=name)
+                    self.lifecycle.dispatched(attempt=decision.attempt)
                 case Release(pieces=pieces):
                     for piece in pieces:
                         assert piece.start == len(self.released)
@@ -127,7 +127,7 @@
                     pass
 
     def begin(self) -> Harness:
-        self.carry_out(self.life.start())
+        self.carry_out(self.lifecycle.start())
         return self
 
     def newest(self) -> EngineStream:
@@ -136,7 +136,7 @@
     def step(self, stream: EngineStream, times: int = 1) -> None:
         for _ in range(times):
             if stream.sent < stream.dispatch.max_tokens:
-                self.carry_out(stream.step(self.life))
+                self.carry_out(stream.step(self.lifecycle))
 
     def run_out(self) -> None:
         while self.finish is None:
--- a/lagoonlever/tests/generation_tests.py
+++ b/lagoonlever/tests/generation_tests.py
@@ -30,7 +30,7 @@
     SEED,
     Harness,
     expected,
-    life,
+    lifecycle,
     spec,
 )
 
@@ -64,10 +64,10 @@
 
     It sends its late tokens while another engine continues the answer.
     """
-    harness = Harness(life(cls)).begin()
+    harness = Harness(lifecycle(cls)).begin()
     frozen = harness.newest()
     harness.step(frozen, offset)
-    harness.carry_out(harness.life.declared_dead(attempt=frozen.dispatch.attempt))
+    harness.carry_out(harness.lifecycle.declared_dead(attempt=frozen.dispatch.attempt))
     harness.step(harness.newest(), 2)
     harness.step(frozen, 3)
     harness.run_out()
@@ -95,10 +95,10 @@
 
 
 def released_with_crash_at(offset: int, cls: type[GenerationLifecycle]) -> list[int]:
-    harness = Harness(life(cls)).begin()
+    harness = Harness(lifecycle(cls)).begin()
     harness.step(harness.newest(), offset)
     attempt = harness.newest().dispatch.attempt
-    harness.carry_out(harness.life.broken(attempt=attempt, cause=FailureCause.BROKEN))
+    harness.carry_out(harness.lifecycle.broken(attempt=attempt, cause=FailureCause.BROKEN))
     harness.run_out()
     return harness.released
 
@@ -124,10 +124,12 @@
 
 
 def harness_after_version_change(cls: type[GenerationLifecycle]) -> Harness:
-    harness = Harness(life(cls, spec=spec(accepts_restart=True)), versions=["v1", "v2"]).begin()
+    harness = Harness(
+        lifecycle(cls, spec=spec(accepts_restart=True)), versions=["v1", "v2"]
+    ).begin()
     harness.step(harness.newest(), 7)
     first = harness.newest().dispatch.attempt
-    harness.carry_out(harness.life.broken(attempt=first, cause=FailureCause.BROKEN))
+    harness.carry_out(harness.lifecycle.broken(attempt=first, cause=FailureCause.BROKEN))
     harness.step(harness.newest())
     return harness
 
@@ -155,11 +157,11 @@
     The last engine of the answer's model version crashed, and a new generation is started. The
     caller must be told to discard the tokens that it has.
     """
-    harness = Harness(life(spec=spec(accepts_restart=True))).begin()
+    harness = Harness(lifecycle(spec=spec(accepts_restart=True))).begin()
     harness.step(harness.newest(), 9)
     for cause in (FailureCause.BROKEN, FailureCause.NO_TARGET, FailureCause.NO_TARGET):
         attempt = harness.newest().dispatch.attempt
-        harness.carry_out(harness.life.broken(attempt=attempt, cause=cause))
+        harness.carry_out(harness.lifecycle.broken(attempt=attempt, cause=cause))
     assert harness.restarts == 1
     harness.newest().version = "v2"
     harness.newest().__attrs_post_init__()
@@ -170,11 +172,11 @@
 
 
 def test_a_caller_that_accepts_no_restart_gets_failed_instead() -> None:
-    harness = Harness(life()).begin()
+    harness = Harness(lifecycle()).begin()
     harness.step(harness.newest(), 9)
     for cause in (FailureCause.BROKEN, FailureCause.NO_TARGET, FailureCause.NO_TARGET):
         attempt = harness.newest().dispatch.attempt
-        harness.carry_out(harness.life.broken(attempt=attempt, cause=cause))
+        harness.carry_out(harness.lifecycle.broken(attempt=attempt, cause=cause))
     assert isinstance(harness.finish, Finish)
     assert isinstance(harness.finish.outcome, Failed)
 
@@ -185,13 +187,13 @@
     Only a failed connect proves that the engine received nothing. Once a request was written,
     the outcome must be "unknown".
     """
-    unsent = life()
+    unsent = lifecycle()
     (first,) = unsent.start()
     assert isinstance(first, Dispatch)
     end = unsent.abandon(reason=Reason.DEADLINE, message="late")[-1]
     assert isinstance(end, Finish) and isinstance(end.outcome, NotRun)
-    sent = Harness(life()).begin()
-    end = sent.life.abandon(reason=Reason.DEADLINE, message="late")[-1]
+    sent = Harness(lifecycle()).begin()
+    end = sent.lifecycle.abandon(reason=Reason.DEADLINE, message="late")[-1]
     assert isinstance(end, Finish) and isinstance(end.outcome, Unknown)
 
 
@@ -201,7 +203,7 @@
     The stream's engine froze, and the next choice was a dead engine that is still listed.
     Connections to it failed one after the other until the attempts were used up.
     """
-    machine = life()
+    machine = lifecycle()
     (first,) = machine.start()
     assert isinstance(first, Dispatch)
     machine.placed(attempt=first.attempt, target="dead")
@@ -216,14 +218,14 @@
     stop = whole.text[8:16]
     cut = whole.text.index(stop)
     for offset in range(1, 12):
-        harness = Harness(life(spec=spec(stop=(stop,)))).begin()
+        harness = Harness(lifecycle(spec=spec(stop=(stop,)))).begin()
         harness.step(harness.newest(), offset)
         if harness.finish is None:
             attempt = harness.newest().dispatch.attempt
-            harness.carry_out(harness.life.broken(attempt=attempt, cause=FailureCause.BROKEN))
+            harness.carry_out(harness.lifecycle.broken(attempt=attempt, cause=FailureCause.BROKEN))
         harness.run_out()
-        assert harness.life.answer is not None
-        assert harness.life.answer.text == whole.text[:cut]
+        assert harness.lifecycle.answer is not None
+        assert harness.lifecycle.answer.text == whole.text[:cut]
 
 
 class GenerationMachine(RuleBasedStateMachine):
@@ -231,7 +233,9 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.harness = Harness(life(spec=spec(accepts_restart=True)), versions=["v1", "v1", "v2"])
+        self.harness = Harness(
+            lifecycle(spec=spec(accepts_restart=True)), versions=["v1", "v1", "v2"]
+        )
         self.harness.begin()
 
     def _is_open(self) -> bool:
@@ -251,20 +255,20 @@
     @precondition(_is_open)
     @rule(cause=st.sampled_from(FailureCause))
     def an_attempt_fails(self, cause: FailureCause) -> None:
-        attempt = self.harness.life.live_attempts[0]
-        self.harness.carry_out(self.harness.life.broken(attempt=attempt, cause=cause))
+        attempt = self.harness.lifecycle.live_attempts[0]
+        self.harness.carry_out(self.harness.lifecycle.broken(attempt=attempt, cause=cause))
 
     @precondition(_is_open)
     @rule(dead=st.booleans())
     def an_engine_freezes(self, dead: bool) -> None:
-        attempt = self.harness.life.live_attempts[0]
-        decide = self.harness.life.declared_dead if dead else self.harness.life.suspected
+        attempt = self.harness.lifecycle.live_attempts[0]
+        decide = self.harness.lifecycle.declared_dead if dead else self.harness.lifecycle.suspected
         self.harness.carry_out(decide(attempt=attempt))
 
     @precondition(_is_open)
     @rule()
     def the_vm_crashes_and_the_caller_reconnects(self) -> None:
-        answer = self.harness.life.answer
+        answer = self.harness.lifecycle.answer
         if answer is None or not answer.pieces:
             return
         last = answer.pieces[-1]
@@ -273,11 +277,11 @@
             prompt_token_ids=PROMPT,
             token_ids=answer.token_ids,
         )
-        point = point_of_held(self.harness.life.spec, held, last.event_id)
+        point = point_of_held(self.harness.lifecycle.spec, held, last.event_id)
         assert isinstance(point, ResumePoint)
         previous = self.harness
         self.harness = Harness(
-            life(spec=previous.life.spec, resume_point=point), versions=["v1", "v2"]
+            lifecycle(spec=previous.lifecycle.spec, resume_point=point), versions=["v1", "v2"]
         )
         self.harness.released = previous.released
         self.harness.restarts = previous.restarts
@@ -290,7 +294,7 @@
 
     @invariant()
     def released_is_a_prefix_of_one_answer(self) -> None:
-        machine = self.harness.life
+        machine = self.harness.lifecycle
         if machine.answer is None:
             assert not self.harness.released
             return
--- a/lagoonlever/tests/stream_life_tests.py
+++ b/lagoonlever/tests/stream_life_tests.py
@@ -37,7 +37,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.life = StreamLifecycle(repeatable=self.repeatable, max_attempts=MAX_ATTEMPTS)
+        self.stream = StreamLifecycle(repeatable=self.repeatable, max_attempts=MAX_ATTEMPTS)
         self.engine: str | None = None
         self.copy: RunCopy | None = None
         self.flowing = False
@@ -49,65 +49,65 @@
     @precondition(lambda self: self.engine is None and self.given_up is None)
     @rule(pick=st.integers(0, 2), holder=st.sampled_from(("", *ENGINES)), usable=st.booleans())
     def step(self, pick: int, holder: str, usable: bool) -> None:
-        step = self.life.next_step()
+        step = self.stream.next_step()
         if isinstance(step, GiveUp):
             self.given_up = step
             return
         if isinstance(step, WaitForEngine):
             self.waits += 1
-            assert self.life.begun or self.waits <= MAX_ENGINE_ROUNDS
+            assert self.stream.begun or self.waits <= MAX_ENGINE_ROUNDS
             return
         if isinstance(step, ResumeFromCopy):
             assert step.copy == self.copy
             if not usable:
-                self.life.copy_unusable()
+                self.stream.copy_unusable()
                 return
             self.engine = step.copy.holder
         else:
             assert isinstance(step, PlaceAttempt)
             usable_engines = [name for name in ENGINES if name not in step.avoid]
             if not usable_engines:
-                self.life.no_engine()
+                self.stream.no_engine()
                 return
             self.engine = usable_engines[pick % len(usable_engines)]
         self.copy = None
         self.flowing = False
         self.growing = copy_at(holder) if holder else None
-        self.life.record_sent(copy=self.growing)
+        self.stream.record_sent(copy=self.growing)
         self.ran += 1
 
     @precondition(lambda self: self.engine is not None and not self.flowing)
     @rule()
     def refused(self) -> None:
-        self.life.record_refusal(self.engine or "", "full")
+        self.stream.record_refusal(self.engine or "", "full")
         self.ran -= 1
         self.engine = None
 
     @precondition(lambda self: self.engine is not None)
     @rule(alive=st.booleans())
     def lost(self, alive: bool) -> None:
-        self.life.record_loss(self.engine or "", "broke", alive=alive, read=True)
+        self.stream.record_loss(self.engine or "", "broke", alive=alive, read=True)
         self.engine = None
 
     @precondition(lambda self: self.engine is not None)
     @rule(offset=st.integers(-2, 2))
     def event(self, offset: int) -> None:
-        number = max(1, (self.life.position or 0) + offset)
-        verdict = self.life.check_event(number)
+        number = max(1, (self.stream.position or 0) + offset)
+        verdict = self.stream.check_event(number)
         if verdict is EventVerdict.FORWARD:
-            self.life.begun = True
-            self.life.record_first_event()
+            self.stream.begun = True
+            self.stream.record_first_event()
             self.copy = self.growing
             self.flowing = True
             self.delivered.append(number)
         if verdict is EventVerdict.OUT_OF_ORDER:
-            self.life.record_loss(self.engine or "", "skipped")
+            self.stream.record_loss(self.engine or "", "skipped")
             self.engine = None
 
     @precondition(lambda self: self.given_up is not None)
     @rule()
     def stays_given_up(self) -> None:
-        assert isinstance(self.life.next_step(), GiveUp)
+        assert isinstance(self.stream.next_step(), GiveUp)
 
     @invariant()
     def no_event_is_missing_or_repeated(self) -> None:
@@ -140,21 +140,21 @@
 
 def test_a_copy_is_used_only_after_the_first_event() -> None:
     """An engine makes no copy before a run's first event, so a resume from it is refused."""
-    life = StreamLifecycle(repeatable=True, max_attempts=5)
-    life.record_sent(copy=copy_at("e2"))
-    life.record_loss("e1", "broke")
-    assert isinstance(life.next_step(), PlaceAttempt)
+    stream = StreamLifecycle(repeatable=True, max_attempts=5)
+    stream.record_sent(copy=copy_at("e2"))
+    stream.record_loss("e1", "broke")
+    assert isinstance(stream.next_step(), PlaceAttempt)
 
 
 def test_a_live_engine_that_lost_a_response_is_preferred_only_once() -> None:
-    life = StreamLifecycle(repeatable=True, max_attempts=5)
-    life.record_sent(copy=None)
-    life.record_loss("e1", "reset", alive=True, read=True)
-    first = life.next_step()
+    stream = StreamLifecycle(repeatable=True, max_attempts=5)
+    stream.record_sent(copy=None)
+    stream.record_loss("e1", "reset", alive=True, read=True)
+    first = stream.next_step()
     assert isinstance(first, PlaceAttempt) and first.prefer == "e1" and not first.avoid
-    life.record_sent(copy=None)
-    life.record_loss("e1", "reset", alive=True, read=True)
-    second = life.next_step()
+    stream.record_sent(copy=None)
+    stream.record_loss("e1", "reset", alive=True, read=True)
+    second = stream.next_step()
     assert isinstance(second, PlaceAttempt) and second.prefer is None and second.avoid == {"e1"}
 
 
@@ -164,23 +164,23 @@
     Connections to them are refused within milliseconds. Counted as refusals, a dozen of them
     made the stream fail although all engines of the other data centres were free.
     """
-    life = StreamLifecycle(repeatable=True, max_attempts=MAX_ATTEMPTS)
+    stream = StreamLifecycle(repeatable=True, max_attempts=MAX_ATTEMPTS)
     for number in range(19):
-        assert isinstance(life.next_step(), PlaceAttempt)
-        life.unreachable(f"dead-{number}", "connection refused")
-    assert isinstance(life.next_step(), PlaceAttempt)
+        assert isinstance(stream.next_step(), PlaceAttempt)
+        stream.unreachable(f"dead-{number}", "connection refused")
+    assert isinstance(stream.next_step(), PlaceAttempt)
 
 
 def test_dead_engines_are_retried_a_few_times_with_pauses() -> None:
     """Without pauses a stream would retry dead engines in a busy loop and load its VM."""
-    life = StreamLifecycle(repeatable=True, max_attempts=MAX_ATTEMPTS)
+    stream = StreamLifecycle(repeatable=True, max_attempts=MAX_ATTEMPTS)
     pauses = 0
-    while not isinstance(step := life.next_step(), GiveUp):
+    while not isinstance(step := stream.next_step(), GiveUp):
         if isinstance(step, WaitForEngine):
             pauses += 1
             continue
         if len(step.avoid) == len(ENGINES):
-            life.no_engine()
+            stream.no_engine()
             continue
-        life.unreachable(next(e for e in ENGINES if e not in step.avoid), "refused")
+        stream.unreachable(next(e for e in ENGINES if e not in step.avoid), "refused")
     assert pauses == MAX_ENGINE_ROUNDS and not step.may_have_run
