--- a/lagoonlever/decisions/streams/life.py
+++ b/lagoonlever/decisions/streams/life.py
@@ -269,7 +269,7 @@
         self._copy = None
         self._detail = detail
 
-    def held_back(self, engine: str) -> None:
+    def record_engine_busy(self, engine: str) -> None:
         """Record that an engine is at capacity.
 
         If it holds the copy to resume from, a short wait costs less than to prefill again.
--- a/lagoonlever/gateway/stream_attempt.py
+++ b/lagoonlever/gateway/stream_attempt.py
@@ -118,7 +118,7 @@
         self._started = self._now
         permit = await self._tools.words.permit(engine.id, need=self._need)
         if isinstance(permit, Denied):
-            self._life.held_back(engine.id)
+            self._life.record_engine_busy(engine.id)
             return
         connection = await self._tools.client.connect(engine, rested_at_most_s=KEPT_REST_S)
         if isinstance(connection, NotSent):
@@ -129,7 +129,7 @@
             return
         if not self._tools.words.covers(engine.id, permit):
             await self._tools.client.keep(connection)
-            self._life.held_back(engine.id)
+            self._life.record_engine_busy(engine.id)
             return
         head: AnswerHead | None = None
         try:
