--- a/lagoonlever/decisions/streams/life.py
+++ b/lagoonlever/decisions/streams/life.py
@@ -258,7 +258,7 @@
         self._engine_rounds += 1
         self._avoided_engines.clear()
 
-    def unreachable(self, engine: str, detail: str) -> None:
+    def record_unreachable(self, engine: str, detail: str) -> None:
         """Record that nothing could be sent to an engine.
 
         This does not count as a refusal. When a data centre fails, its engines look idle and
--- a/lagoonlever/gateway/stream_attempt.py
+++ b/lagoonlever/gateway/stream_attempt.py
@@ -123,7 +123,7 @@
         connection = await self._tools.client.connect(engine, rested_at_most_s=KEPT_REST_S)
         if isinstance(connection, NotSent):
             self._count("not-sent")
-            self._life.unreachable(engine.id, connection.detail)
+            self._life.record_unreachable(engine.id, connection.detail)
             self._peers.engine_lost(engine.id, replaced=False)
             self._log_end(connection.detail)
             return
@@ -134,7 +134,9 @@
         head: AnswerHead | None = None
         try:
             if not self._may_write():
-                self._life.unreachable(engine.id, "it leaves, the time is over, or it is barred")
+                self._life.record_unreachable(
+                    engine.id, "it leaves, the time is over, or it is barred"
+                )
                 return
             head = await self._exchange(connection)
         except _Ended as ended:
--- a/lagoonlever/tests/stream_life_tests.py
+++ b/lagoonlever/tests/stream_life_tests.py
@@ -167,7 +167,7 @@
     stream = StreamLifecycle(repeatable=True, max_attempts=MAX_ATTEMPTS)
     for number in range(19):
         assert isinstance(stream.next_step(), PlaceAttempt)
-        stream.unreachable(f"dead-{number}", "connection refused")
+        stream.record_unreachable(f"dead-{number}", "connection refused")
     assert isinstance(stream.next_step(), PlaceAttempt)
 
 
@@ -182,5 +182,5 @@
         if len(step.avoid) == len(ENGINES):
             stream.no_engine()
             continue
-        stream.unreachable(next(e for e in ENGINES if e not in step.avoid), "refused")
+        stream.record_unreachable(next(e for e in ENGINES if e not in step.avoid), "refused")
     assert pauses == MAX_ENGINE_ROUNDS and not step.may_have_run
