--- a/lagoonlever/decisions/streams/life.py
+++ b/lagoonlever/decisions/streams/life.py
@@ -251,7 +251,7 @@
         """Discard the copy, as the engine that holds it accepts no work."""
         self._copy = None
 
-    def no_engine(self) -> None:
+    def record_no_engine(self) -> None:
         """Record that no engine could be chosen; the engines that failed may be tried again."""
         self._no_engine = True
         self._no_engine_known = not self._avoided_engines
--- a/lagoonlever/tests/stream_life_tests.py
+++ b/lagoonlever/tests/stream_life_tests.py
@@ -67,7 +67,7 @@
             assert isinstance(step, PlaceAttempt)
             usable_engines = [name for name in ENGINES if name not in step.avoid]
             if not usable_engines:
-                self.stream.no_engine()
+                self.stream.record_no_engine()
                 return
             self.engine = usable_engines[pick % len(usable_engines)]
         self.copy = None
@@ -180,7 +180,7 @@
             pauses += 1
             continue
         if len(step.avoid) == len(ENGINES):
-            stream.no_engine()
+            stream.record_no_engine()
             continue
         stream.record_unreachable(next(e for e in ENGINES if e not in step.avoid), "refused")
     assert pauses == MAX_ENGINE_ROUNDS and not step.may_have_run
