--- a/lagoonlever/decisions/streams/life.py
+++ b/lagoonlever/decisions/streams/life.py
@@ -247,7 +247,7 @@
             avoid=frozenset(self._avoided_engines), prefer=self._prefer, after_loss=self.sent > 0
         )
 
-    def copy_unusable(self) -> None:
+    def discard_copy(self) -> None:
         """Discard the copy, as the engine that holds it accepts no work."""
         self._copy = None
 
--- a/lagoonlever/tests/stream_life_tests.py
+++ b/lagoonlever/tests/stream_life_tests.py
@@ -60,7 +60,7 @@
         if isinstance(step, ResumeFromCopy):
             assert step.copy == self.copy
             if not usable:
-                self.stream.copy_unusable()
+                self.stream.discard_copy()
                 return
             self.engine = step.copy.holder
         else:
