--- a/lagoonlever/decisions/streams/life.py
+++ b/lagoonlever/decisions/streams/life.py
@@ -166,7 +166,7 @@
     _repeatable: bool
     _max_attempts: int
     position: int | None = None
-    begun: bool = False
+    response_started: bool = False
     """Whether the head of the response was sent to the caller."""
     whole: bool = False
     """Whether the stream ended completely."""
@@ -232,7 +232,7 @@
         if self.runs >= self._max_attempts or self._refusals >= MAX_REFUSALS:
             return self._give_up()
         if self._no_engine:
-            if not self.begun and (
+            if not self.response_started and (
                 self._no_engine_known or self._engine_rounds > MAX_ENGINE_ROUNDS
             ):
                 return self._give_up()
--- a/lagoonlever/gateway/stream_attempt.py
+++ b/lagoonlever/gateway/stream_attempt.py
@@ -357,8 +357,8 @@
         if head.status != OK or not head.sealed:
             raise _Ended(f"answered {head.status}")
         self._answered = True
-        if not self._life.begun:
-            self._life.begun = True
+        if not self._life.response_started:
+            self._life.response_started = True
             await self._accepted.exchange.start_stream(
                 status=head.status, headers=to_caller(response.headers)
             )
--- a/lagoonlever/tests/stream_life_tests.py
+++ b/lagoonlever/tests/stream_life_tests.py
@@ -55,7 +55,7 @@
             return
         if isinstance(step, WaitForEngine):
             self.waits += 1
-            assert self.stream.begun or self.waits <= MAX_ENGINE_ROUNDS
+            assert self.stream.response_started or self.waits <= MAX_ENGINE_ROUNDS
             return
         if isinstance(step, ResumeFromCopy):
             assert step.copy == self.copy
@@ -95,7 +95,7 @@
         number = max(1, (self.stream.position or 0) + offset)
         verdict = self.stream.check_event(number)
         if verdict is EventVerdict.FORWARD:
-            self.stream.begun = True
+            self.stream.response_started = True
             self.stream.record_first_event()
             self.copy = self.growing
             self.flowing = True
