--- a/lagoonlever/decisions/streams/life.py
+++ b/lagoonlever/decisions/streams/life.py
@@ -174,7 +174,7 @@
     """Number of attempts that an engine may have run: those sent and not refused."""
     sent: int = 0
     """Number of attempts that were sent to an engine."""
-    pace: StreamTiming = attrs.field(factory=StreamTiming)
+    timing: StreamTiming = attrs.field(factory=StreamTiming)
     _refusals: int = 0
     _avoided_engines: set[str] = attrs.field(factory=set)
     _copy: RunCopy | None = None
@@ -292,7 +292,7 @@
         self._copy = None
         self._prefer = None
         self._copy_of_open_attempt = copy
-        self.pace.attempt_begins()
+        self.timing.attempt_begins()
 
     def record_first_event(self) -> None:
         """Record the first event of the open attempt: its copy can be used from now on."""
