--- a/lagoonlever/bench/stream_day_model.py
+++ b/lagoonlever/bench/stream_day_model.py
@@ -390,7 +390,7 @@
 
 
 def _new_life(position: int | None, prefer: str | None = None) -> StreamLifecycle:
-    return StreamLifecycle.returning(
+    return StreamLifecycle.for_reconnect(
         repeatable=True,
         max_attempts=MAX_ATTEMPTS,
         position=position,
--- a/lagoonlever/decisions/streams/life.py
+++ b/lagoonlever/decisions/streams/life.py
@@ -198,7 +198,7 @@
     """Number of times that all engines were tried."""
 
     @classmethod
-    def returning(
+    def for_reconnect(
         cls,
         *,
         repeatable: bool,
--- a/lagoonlever/gateway/streams.py
+++ b/lagoonlever/gateway/streams.py
@@ -97,7 +97,7 @@
             if former.run is not None:
                 copy = former.run.copy
                 prefer = former.run.engine if self._is_same_process(former.run) else None
-        return StreamLifecycle.returning(
+        return StreamLifecycle.for_reconnect(
             repeatable=accepted.route.repeatable,
             max_attempts=accepted.route.max_attempts,
             position=accepted.caller.last_event_id,
