--- a/lagoonlever/decisions/streams/life.py
+++ b/lagoonlever/decisions/streams/life.py
@@ -120,7 +120,7 @@
     _gaps: list[float] = attrs.field(factory=list)
     """Seconds between successive events of the open attempt."""
 
-    def event(self, now: float) -> None:
+    def record_event(self, now: float) -> None:
         """Record an event that is forwarded to the caller at ``now``."""
         if self.first_at is None:
             self.first_at = now
--- a/lagoonlever/gateway/stream_attempt.py
+++ b/lagoonlever/gateway/stream_attempt.py
@@ -370,7 +370,7 @@
             if verdict is EventVerdict.OUT_OF_ORDER:
                 raise _Ended(f"event {event.id} came after {self._life.position}")
             if verdict is EventVerdict.FORWARD:
-                self._life.timing.event(self._now)
+                self._life.timing.record_event(self._now)
                 self._counts.event()
                 await self._accepted.exchange.write(event.data)
             self._note_event(silence)
