--- a/lagoonlever/decisions/streams/life.py
+++ b/lagoonlever/decisions/streams/life.py
@@ -129,7 +129,7 @@
             self._gaps.append(now - self._last_event_at)
         self._last_event_at = now
 
-    def attempt_begins(self) -> None:
+    def start_attempt(self) -> None:
         """Discard the gaps of the previous attempt, which may have run at another engine."""
         self._gaps.clear()
 
@@ -292,7 +292,7 @@
         self._copy = None
         self._prefer = None
         self._copy_of_open_attempt = copy
-        self.timing.attempt_begins()
+        self.timing.start_attempt()
 
     def record_first_event(self) -> None:
         """Record the first event of the open attempt: its copy can be used from now on."""
