--- a/lagoonlever/decisions/streams/silence.py
+++ b/lagoonlever/decisions/streams/silence.py
@@ -129,7 +129,7 @@
         """Return the seconds since the last event, or since the request was sent."""
         return now - self._last_event_at
 
-    def event(self, now: float) -> None:
+    def record_event(self, now: float) -> None:
         """Record an event of the attempt and schedule the next query."""
         if self._flowing:
             self._mean_gap_s += GAP_AVERAGE_WEIGHT * (now - self._last_event_at - self._mean_gap_s)
--- a/lagoonlever/tests/stream_silence_tests.py
+++ b/lagoonlever/tests/stream_silence_tests.py
@@ -19,7 +19,7 @@
 def flowing(*, spacing_s: float = 0.03, events: int = 30) -> tuple[SilenceDetector, float]:
     silence, now = SilenceDetector(sent_at=0.0), 1.0
     for _ in range(events):
-        silence.event(now)
+        silence.record_event(now)
         now += spacing_s
     return silence, now - spacing_s
 
@@ -104,7 +104,7 @@
 def test_half_of_the_pause_that_a_route_accepts_is_left_for_the_resume() -> None:
     silence = SilenceDetector(sent_at=0.0, pause_allowed_s=0.3)
     for number in range(30):
-        silence.event(1.0 + 0.08 * number)
+        silence.record_event(1.0 + 0.08 * number)
     step = silence.decide(1.0 + 0.08 * 29)
     assert isinstance(step, WaitUntil)
     assert abs(step.at - (1.0 + 0.08 * 29) - 0.15) < 1e-6
