--- a/lagoonlever/decisions/streams/silence.py
+++ b/lagoonlever/decisions/streams/silence.py
@@ -154,7 +154,7 @@
             return WaitUntil(at=self._query_at)
         return QueryEngine()
 
-    def answered(self, answer: RunStatus, now: float, *, events_ahead: int = 0) -> None:
+    def record_status(self, answer: RunStatus, now: float, *, events_ahead: int = 0) -> None:
         """Record the run's status as the engine reported it at ``now``.
 
         ``events_ahead`` is the number of events that the engine produced and this VM has not
--- a/lagoonlever/tests/stream_silence_tests.py
+++ b/lagoonlever/tests/stream_silence_tests.py
@@ -54,9 +54,9 @@
     """A prefill takes a second; the loss of one packet of the query must not waste it."""
     silence = SilenceDetector(sent_at=0.0)
     assert isinstance(silence.decide(FIRST_QUERY_S), QueryEngine)
-    silence.answered(RunStatus.NONE, 0.5)
+    silence.record_status(RunStatus.NONE, 0.5)
     assert isinstance(silence.decide(0.5), QueryEngine)
-    silence.answered(RunStatus.NONE, 0.6)
+    silence.record_status(RunStatus.NONE, 0.6)
     assert isinstance(silence.decide(0.6), AttemptLost)
 
 
@@ -64,28 +64,28 @@
     silence = SilenceDetector(sent_at=0.0)
     silence.suspect(0.2)
     assert isinstance(silence.decide(0.2), QueryEngine)
-    silence.answered(RunStatus.NONE, 0.3)
+    silence.record_status(RunStatus.NONE, 0.3)
     assert isinstance(silence.decide(0.3), AttemptLost)
 
 
 def test_a_run_that_is_not_listed_for_long_is_lost() -> None:
     silence = SilenceDetector(sent_at=0.0)
-    silence.answered(RunStatus.NOT_THERE, 0.4)
+    silence.record_status(RunStatus.NOT_THERE, 0.4)
     assert not isinstance(silence.decide(0.4), AttemptLost)
-    silence.answered(RunStatus.NOT_THERE, 1.0)
+    silence.record_status(RunStatus.NOT_THERE, 1.0)
     assert isinstance(silence.decide(1.0), AttemptLost)
 
 
 def test_a_run_that_may_be_queued_at_its_engine_is_kept() -> None:
     silence = SilenceDetector(sent_at=0.0)
     for now in (0.4, 1.0, 1.6, 2.2):
-        silence.answered(RunStatus.QUEUED, now)
+        silence.record_status(RunStatus.QUEUED, now)
         assert not isinstance(silence.decide(now), AttemptLost)
 
 
 def test_events_that_were_produced_but_not_delivered_are_a_loss() -> None:
     silence = SilenceDetector(sent_at=0.0)
-    silence.answered(RunStatus.RUNNING, 1.0, events_ahead=10)
+    silence.record_status(RunStatus.RUNNING, 1.0, events_ahead=10)
     assert isinstance(silence.decide(1.0), AttemptLost)
 
 
