--- a/lagoonlever/decisions/streams/silence.py
+++ b/lagoonlever/decisions/streams/silence.py
@@ -146,7 +146,7 @@
         self._query_at = min(self._query_at, now)
         self._suspected = True
 
-    def decide(self, now: float) -> SilenceStep:
+    def next_step(self, now: float) -> SilenceStep:
         """Return the step to take at ``now``."""
         if self._loss_reason is not None:
             return AttemptLost(reason=self._loss_reason, unanswered=self._unanswered > 0)
--- a/lagoonlever/tests/stream_silence_tests.py
+++ b/lagoonlever/tests/stream_silence_tests.py
@@ -53,40 +53,40 @@
 def test_before_the_first_event_one_unanswered_query_is_not_enough() -> None:
     """A prefill takes a second; the loss of one packet of the query must not waste it."""
     silence = SilenceDetector(sent_at=0.0)
-    assert isinstance(silence.decide(FIRST_QUERY_S), QueryEngine)
+    assert isinstance(silence.next_step(FIRST_QUERY_S), QueryEngine)
     silence.record_status(RunStatus.NONE, 0.5)
-    assert isinstance(silence.decide(0.5), QueryEngine)
+    assert isinstance(silence.next_step(0.5), QueryEngine)
     silence.record_status(RunStatus.NONE, 0.6)
-    assert isinstance(silence.decide(0.6), AttemptLost)
+    assert isinstance(silence.next_step(0.6), AttemptLost)
 
 
 def test_a_loss_that_other_streams_have_seen_needs_only_one_query() -> None:
     silence = SilenceDetector(sent_at=0.0)
     silence.suspect(0.2)
-    assert isinstance(silence.decide(0.2), QueryEngine)
+    assert isinstance(silence.next_step(0.2), QueryEngine)
     silence.record_status(RunStatus.NONE, 0.3)
-    assert isinstance(silence.decide(0.3), AttemptLost)
+    assert isinstance(silence.next_step(0.3), AttemptLost)
 
 
 def test_a_run_that_is_not_listed_for_long_is_lost() -> None:
     silence = SilenceDetector(sent_at=0.0)
     silence.record_status(RunStatus.NOT_THERE, 0.4)
-    assert not isinstance(silence.decide(0.4), AttemptLost)
+    assert not isinstance(silence.next_step(0.4), AttemptLost)
     silence.record_status(RunStatus.NOT_THERE, 1.0)
-    assert isinstance(silence.decide(1.0), AttemptLost)
+    assert isinstance(silence.next_step(1.0), AttemptLost)
 
 
 def test_a_run_that_may_be_queued_at_its_engine_is_kept() -> None:
     silence = SilenceDetector(sent_at=0.0)
     for now in (0.4, 1.0, 1.6, 2.2):
         silence.record_status(RunStatus.QUEUED, now)
-        assert not isinstance(silence.decide(now), AttemptLost)
+        assert not isinstance(silence.next_step(now), AttemptLost)
 
 
 def test_events_that_were_produced_but_not_delivered_are_a_loss() -> None:
     silence = SilenceDetector(sent_at=0.0)
     silence.record_status(RunStatus.RUNNING, 1.0, events_ahead=10)
-    assert isinstance(silence.decide(1.0), AttemptLost)
+    assert isinstance(silence.next_step(1.0), AttemptLost)
 
 
 def test_a_gap_as_long_as_the_recent_ones_causes_no_query() -> None:
@@ -105,7 +105,7 @@
     silence = SilenceDetector(sent_at=0.0, pause_allowed_s=0.3)
     for number in range(30):
         silence.record_event(1.0 + 0.08 * number)
-    step = silence.decide(1.0 + 0.08 * 29)
+    step = silence.next_step(1.0 + 0.08 * 29)
     assert isinstance(step, WaitUntil)
     assert abs(step.at - (1.0 + 0.08 * 29) - 0.15) < 1e-6
 
