--- a/lagoonlever/decisions/streams/silence.py
+++ b/lagoonlever/decisions/streams/silence.py
@@ -188,7 +188,7 @@
         return max(min(max_s, usual_s), USUAL_GAPS * self._mean_gap_s)
 
 
-def first_ask_s(*, usual_reading_s: float, objective_s: float) -> float:
+def first_query_delay_s(*, usual_reading_s: float, objective_s: float) -> float:
     """Return the silence before the first event, in seconds, after which an engine is queried.
 
     ``usual_reading_s`` is the usual prefill time, ``objective_s`` the time within which the
--- a/lagoonlever/gateway/stream_attempt.py
+++ b/lagoonlever/gateway/stream_attempt.py
@@ -17,7 +17,7 @@
     QueryEngine,
     SilenceDetector,
     WaitUntil,
-    first_ask_s,
+    first_query_delay_s,
 )
 from lagoonlever.decisions.streams.silence import AttemptLost as SilenceLost
 from lagoonlever.decisions.targets.limit_permits import Denied
@@ -209,7 +209,9 @@
         usual_s = self._tools.beliefs.book.paces.usual_reading_s(service)
         return SilenceDetector(
             sent_at=self._now,
-            first_ask_s=first_ask_s(usual_reading_s=usual_s, objective_s=route.objective_s),
+            first_query_delay_s=first_query_delay_s(
+                usual_reading_s=usual_s, objective_s=route.objective_s
+            ),
             pause_allowed_s=route.pause_objective_s or PAUSE_ALLOWED_S,
         )
 
--- a/lagoonlever/tests/stream_silence_tests.py
+++ b/lagoonlever/tests/stream_silence_tests.py
@@ -12,7 +12,7 @@
     AttemptLost,
     SilenceDetector,
     WaitUntil,
-    first_ask_s,
+    first_query_delay_s,
 )
 
 
@@ -111,9 +111,9 @@
 
 
 def test_engines_with_a_slow_prefill_are_queried_later_but_before_the_objective() -> None:
-    assert first_ask_s(usual_reading_s=0.5, objective_s=4.5) == FIRST_QUERY_S
-    assert first_ask_s(usual_reading_s=2.0, objective_s=4.5) == 2 * FIRST_QUERY_S
-    assert first_ask_s(usual_reading_s=9.0, objective_s=4.0) == 1.0
+    assert first_query_delay_s(usual_reading_s=0.5, objective_s=4.5) == FIRST_QUERY_S
+    assert first_query_delay_s(usual_reading_s=2.0, objective_s=4.5) == 2 * FIRST_QUERY_S
+    assert first_query_delay_s(usual_reading_s=9.0, objective_s=4.0) == 1.0
 
 
 def test_a_run_is_lost_if_its_engine_was_restarted() -> None:
