--- a/lagoonlever/decisions/streams/engine_runs.py
+++ b/lagoonlever/decisions/streams/engine_runs.py
@@ -52,6 +52,6 @@
     """Start time of the engine's process, as known when the run was sent."""
 
     @property
-    def copy_at(self) -> str | None:
+    def copy_holder(self) -> str | None:
         """The id of the engine that holds the copy, or None."""
         return self.copy.holder if self.copy else None
--- a/lagoonlever/gateway/stream_attempt.py
+++ b/lagoonlever/gateway/stream_attempt.py
@@ -493,7 +493,7 @@
             target=plan.engine.id,
             attempt=self._life.sent,
             position=self._life.position,
-            copy=plan.run.copy_at,
+            copy=plan.run.copy_holder,
             rank=self._rank,
             reason=plan.reason,
         )
