--- a/lagoonlever/decisions/streams/generation.py
+++ b/lagoonlever/decisions/streams/generation.py
@@ -160,7 +160,7 @@
             )
         ]
 
-    def placed(self, *, attempt: int, target: str) -> None:
+    def record_target(self, *, attempt: int, target: str) -> None:
         """Record the engine that was chosen for an attempt; nothing is written to it yet."""
         if attempt in self._open_attempts:
             self._open_attempts[attempt].target = target
--- a/lagoonlever/entry/generations/task.py
+++ b/lagoonlever/entry/generations/task.py
@@ -215,7 +215,7 @@
                 self._not_placed(dispatch, placement)
                 return
             running.placement = placement
-            self._life.placed(attempt=dispatch.attempt, target=placement.target.name)
+            self._life.record_target(attempt=dispatch.attempt, target=placement.target.name)
             try:
                 cause = await self._attempt(running, placement)
             finally:
--- a/lagoonlever/tests/generation_harness.py
+++ b/lagoonlever/tests/generation_harness.py
@@ -112,7 +112,7 @@
                     version = self.versions[len(self.streams) % len(self.versions)]
                     self.streams[decision.attempt] = EngineStream(decision, version)
                     name = f"engine-{len(self.streams)}"
-                    self.lifecycle.placed(attempt=decision.attempt, target=name)
+                    self.lifecycle.record_target(attempt=decision.attempt, target=name)
                     self.lifecycle.dispatched(attempt=decision.attempt)
                 case Release(pieces=pieces):
                     for piece in pieces:
