--- a/lagoonlever/decisions/streams/generation.py
+++ b/lagoonlever/decisions/streams/generation.py
@@ -165,7 +165,7 @@
         if attempt in self._open_attempts:
             self._open_attempts[attempt].target = target
 
-    def dispatched(self, *, attempt: int) -> None:
+    def record_dispatch(self, *, attempt: int) -> None:
         """Record that an attempt is being written: from now on the engine may have run it."""
         if attempt in self._open_attempts:
             self._any_attempt_sent = True
--- a/lagoonlever/entry/generations/task.py
+++ b/lagoonlever/entry/generations/task.py
@@ -250,7 +250,7 @@
             if not (self._may_begin() and self._engines.may_write(dispatch, placement)):
                 return False
             self._engines.sent(self, self.spec, dispatch, placement)
-            self._life.dispatched(attempt=dispatch.attempt)
+            self._life.record_dispatch(attempt=dispatch.attempt)
             return True
 
         attempt = EngineAttempt(
--- a/lagoonlever/tests/caller_stream_tests.py
+++ b/lagoonlever/tests/caller_stream_tests.py
@@ -86,7 +86,7 @@
     dispatch = life.start()[0]
     assert isinstance(dispatch, Dispatch)
     task.attempt = dispatch.attempt
-    life.dispatched(attempt=dispatch.attempt)
+    life.record_dispatch(attempt=dispatch.attempt)
     life.opened(attempt=dispatch.attempt, model_version="v1", prompt_token_ids=(300,))
     task.engine_sends(300)
     exchange = SlowExchange(task)
--- a/lagoonlever/tests/generation_harness.py
+++ b/lagoonlever/tests/generation_harness.py
@@ -113,7 +113,7 @@
                     self.streams[decision.attempt] = EngineStream(decision, version)
                     name = f"engine-{len(self.streams)}"
                     self.lifecycle.record_target(attempt=decision.attempt, target=name)
-                    self.lifecycle.dispatched(attempt=decision.attempt)
+                    self.lifecycle.record_dispatch(attempt=decision.attempt)
                 case Release(pieces=pieces):
                     for piece in pieces:
                         assert piece.start == len(self.released)
