--- a/lagoonlever/decisions/streams/generation.py
+++ b/lagoonlever/decisions/streams/generation.py
@@ -170,7 +170,7 @@
         if attempt in self._open_attempts:
             self._any_attempt_sent = True
 
-    def opened(
+    def on_opened(
         self, *, attempt: int, model_version: str, prompt_token_ids: tuple[int, ...]
     ) -> list[Decision]:
         """Handle an engine's first chunk, which has the model version and the prompt's token ids.
--- a/lagoonlever/entry/generations/task.py
+++ b/lagoonlever/entry/generations/task.py
@@ -285,7 +285,7 @@
                     token_ids=choice.prompt_token_ids or (),
                 )
                 self._carry_out(
-                    self._life.opened(
+                    self._life.on_opened(
                         attempt=attempt,
                         model_version=chunk.system_fingerprint,
                         prompt_token_ids=choice.prompt_token_ids or (),
--- a/lagoonlever/tests/caller_stream_tests.py
+++ b/lagoonlever/tests/caller_stream_tests.py
@@ -87,7 +87,7 @@
     assert isinstance(dispatch, Dispatch)
     task.attempt = dispatch.attempt
     life.record_dispatch(attempt=dispatch.attempt)
-    life.opened(attempt=dispatch.attempt, model_version="v1", prompt_token_ids=(300,))
+    life.on_opened(attempt=dispatch.attempt, model_version="v1", prompt_token_ids=(300,))
     task.engine_sends(300)
     exchange = SlowExchange(task)
     call = CompletionCall(
@@ -135,7 +135,7 @@
     dispatch = life.start()[0]
     assert isinstance(dispatch, Dispatch)
     task.attempt = dispatch.attempt
-    life.opened(attempt=task.attempt, model_version="v1", prompt_token_ids=(1,))
+    life.on_opened(attempt=task.attempt, model_version="v1", prompt_token_ids=(1,))
     task.engine_sends(300, 301)
     task.engine_sends(302, finish_reason="length")
     call = CompletionCall(
@@ -185,7 +185,7 @@
     dispatch = life.start()[0]
     assert isinstance(dispatch, Dispatch)
     task.attempt = dispatch.attempt
-    life.opened(attempt=dispatch.attempt, model_version="v1", prompt_token_ids=(300,))
+    life.on_opened(attempt=dispatch.attempt, model_version="v1", prompt_token_ids=(300,))
     task.engine_sends(300)
     ahead = Answer(request_id="r", generation=1, model_version="v1")
     for token_id in (300, 301):
--- a/lagoonlever/tests/faulty_requests_tests.py
+++ b/lagoonlever/tests/faulty_requests_tests.py
@@ -115,7 +115,7 @@
     life = GenerationLifecycle(spec=spec, limits=GenerationLimits(), rng=random.Random(1))
     (dispatch,) = life.start()
     assert isinstance(dispatch, Dispatch)
-    life.opened(attempt=dispatch.attempt, model_version="v1", prompt_token_ids=(1,))
+    life.on_opened(attempt=dispatch.attempt, model_version="v1", prompt_token_ids=(1,))
     life.chunk(
         attempt=dispatch.attempt,
         token_ids=tuple(range(300, 300 + length)),
