--- a/lagoonlever/decisions/streams/generation.py
+++ b/lagoonlever/decisions/streams/generation.py
@@ -189,7 +189,7 @@
             return self.broken(attempt=attempt, cause=FailureCause.WRONG_VERSION)
         return []
 
-    def chunk(
+    def on_chunk(
         self,
         *,
         attempt: int,
--- a/lagoonlever/entry/generations/task.py
+++ b/lagoonlever/entry/generations/task.py
@@ -294,7 +294,7 @@
             if choice.token_ids:
                 self._engines.token(running.dispatch, placement, len(choice.token_ids))
             self._carry_out(
-                self._life.chunk(
+                self._life.on_chunk(
                     attempt=attempt,
                     token_ids=choice.token_ids,
                     text=choice.text,
--- a/lagoonlever/tests/caller_stream_tests.py
+++ b/lagoonlever/tests/caller_stream_tests.py
@@ -48,7 +48,7 @@
         raise AssertionError("waits though the answer is over")
 
     def engine_sends(self, *token_ids: int, finish_reason: str | None = None) -> None:
-        self.life.chunk(
+        self.life.on_chunk(
             attempt=self.attempt, token_ids=token_ids, text="x", finish_reason=finish_reason
         )
 
--- a/lagoonlever/tests/faulty_requests_tests.py
+++ b/lagoonlever/tests/faulty_requests_tests.py
@@ -116,7 +116,7 @@
     (dispatch,) = life.start()
     assert isinstance(dispatch, Dispatch)
     life.on_opened(attempt=dispatch.attempt, model_version="v1", prompt_token_ids=(1,))
-    life.chunk(
+    life.on_chunk(
         attempt=dispatch.attempt,
         token_ids=tuple(range(300, 300 + length)),
         text="x",
