--- a/lagoonlever/decisions/streams/generation.py
+++ b/lagoonlever/decisions/streams/generation.py
@@ -186,7 +186,7 @@
             self._answer = self._start_answer(model_version)
             self._prompt_token_ids = prompt_token_ids
         if self._answer.model_version != model_version:
-            return self.broken(attempt=attempt, cause=FailureCause.WRONG_VERSION)
+            return self.on_attempt_failed(attempt=attempt, cause=FailureCause.WRONG_VERSION)
         return []
 
     def on_chunk(
@@ -207,9 +207,9 @@
         if current is None or answer is None or self._finished or current.ended:
             return []
         if current.start + current.received != answer.offset + current.buffer.held_tokens:
-            return self.broken(attempt=attempt, cause=FailureCause.OUT_OF_ORDER)
+            return self.on_attempt_failed(attempt=attempt, cause=FailureCause.OUT_OF_ORDER)
         if finish_reason is not None and finish_reason not in COMPLETE_FINISH_REASONS:
-            return self.broken(attempt=attempt, cause=FailureCause.ABORTED)
+            return self.on_attempt_failed(attempt=attempt, cause=FailureCause.ABORTED)
         current.received += len(token_ids)
         pieces = current.buffer.push(token_ids=token_ids, text=text)
         if finish_reason is not None:
@@ -234,7 +234,7 @@
             return decisions + self._finish(Done(), finish_reason)
         return decisions
 
-    def broken(self, *, attempt: int, cause: FailureCause) -> list[Decision]:
+    def on_attempt_failed(self, *, attempt: int, cause: FailureCause) -> list[Decision]:
         """Handle an attempt that ended before its answer was complete.
 
         The engine is avoided from now on unless the cause is no fault of its own. Another
@@ -288,7 +288,7 @@
 
     def declared_dead(self, *, attempt: int) -> list[Decision]:
         """Drop an attempt whose engine is declared dead, and continue on another engine."""
-        return self.broken(attempt=attempt, cause=FailureCause.SILENT)
+        return self.on_attempt_failed(attempt=attempt, cause=FailureCause.SILENT)
 
     def abandon(self, *, reason: Reason, message: str) -> list[Decision]:
         """Abandon the request: its caller left, its deadline passed, or another VM took it over."""
--- a/lagoonlever/entry/generations/task.py
+++ b/lagoonlever/entry/generations/task.py
@@ -145,7 +145,9 @@
         for number, running in list(self._running.items()):
             if self._is_misplaced(running):
                 running.left = True
-                self._carry_out(self._life.broken(attempt=number, cause=FailureCause.CALLED_BACK))
+                self._carry_out(
+                    self._life.on_attempt_failed(attempt=number, cause=FailureCause.CALLED_BACK)
+                )
 
     def hand_over(self) -> None:
         """Stop and cancel nothing at the engines: another VM takes up their streams."""
@@ -224,7 +226,7 @@
                 self._engines.ended(self.spec, dispatch, placement, cause)
         if cause is not None:
             await self._look_at_end(running, cause)
-            self._carry_out(self._life.broken(attempt=dispatch.attempt, cause=cause))
+            self._carry_out(self._life.on_attempt_failed(attempt=dispatch.attempt, cause=cause))
         self._running.pop(dispatch.attempt, None)
 
     async def _look_at_end(self, running: _RunningAttempt, cause: FailureCause) -> None:
@@ -239,7 +241,9 @@
         del self._running[dispatch.attempt]
         attempt = dispatch.attempt
         if answer is None:
-            self._carry_out(self._life.broken(attempt=attempt, cause=FailureCause.NO_TARGET))
+            self._carry_out(
+                self._life.on_attempt_failed(attempt=attempt, cause=FailureCause.NO_TARGET)
+            )
         else:
             self._carry_out(self._life.not_admitted(attempt=attempt, answer=answer))
 
--- a/lagoonlever/tests/generation_tests.py
+++ b/lagoonlever/tests/generation_tests.py
@@ -98,7 +98,9 @@
     harness = Harness(lifecycle(cls)).begin()
     harness.step(harness.newest(), offset)
     attempt = harness.newest().dispatch.attempt
-    harness.carry_out(harness.lifecycle.broken(attempt=attempt, cause=FailureCause.BROKEN))
+    harness.carry_out(
+        harness.lifecycle.on_attempt_failed(attempt=attempt, cause=FailureCause.BROKEN)
+    )
     harness.run_out()
     return harness.released
 
@@ -129,7 +131,7 @@
     ).begin()
     harness.step(harness.newest(), 7)
     first = harness.newest().dispatch.attempt
-    harness.carry_out(harness.lifecycle.broken(attempt=first, cause=FailureCause.BROKEN))
+    harness.carry_out(harness.lifecycle.on_attempt_failed(attempt=first, cause=FailureCause.BROKEN))
     harness.step(harness.newest())
     return harness
 
@@ -161,7 +163,7 @@
     harness.step(harness.newest(), 9)
     for cause in (FailureCause.BROKEN, FailureCause.NO_TARGET, FailureCause.NO_TARGET):
         attempt = harness.newest().dispatch.attempt
-        harness.carry_out(harness.lifecycle.broken(attempt=attempt, cause=cause))
+        harness.carry_out(harness.lifecycle.on_attempt_failed(attempt=attempt, cause=cause))
     assert harness.restarts == 1
     harness.newest().version = "v2"
     harness.newest().__attrs_post_init__()
@@ -176,7 +178,7 @@
     harness.step(harness.newest(), 9)
     for cause in (FailureCause.BROKEN, FailureCause.NO_TARGET, FailureCause.NO_TARGET):
         attempt = harness.newest().dispatch.attempt
-        harness.carry_out(harness.lifecycle.broken(attempt=attempt, cause=cause))
+        harness.carry_out(harness.lifecycle.on_attempt_failed(attempt=attempt, cause=cause))
     assert isinstance(harness.finish, Finish)
     assert isinstance(harness.finish.outcome, Failed)
 
@@ -222,7 +224,9 @@
         harness.step(harness.newest(), offset)
         if harness.finish is None:
             attempt = harness.newest().dispatch.attempt
-            harness.carry_out(harness.lifecycle.broken(attempt=attempt, cause=FailureCause.BROKEN))
+            harness.carry_out(
+                harness.lifecycle.on_attempt_failed(attempt=attempt, cause=FailureCause.BROKEN)
+            )
         harness.run_out()
         assert harness.lifecycle.answer is not None
         assert harness.lifecycle.answer.text == whole.text[:cut]
@@ -256,7 +260,9 @@
     @rule(cause=st.sampled_from(FailureCause))
     def an_attempt_fails(self, cause: FailureCause) -> None:
         attempt = self.harness.lifecycle.live_attempts[0]
-        self.harness.carry_out(self.harness.lifecycle.broken(attempt=attempt, cause=cause))
+        self.harness.carry_out(
+            self.harness.lifecycle.on_attempt_failed(attempt=attempt, cause=cause)
+        )
 
     @precondition(_is_open)
     @rule(dead=st.booleans())
