--- a/lagoonlever/decisions/streams/generation.py
+++ b/lagoonlever/decisions/streams/generation.py
@@ -270,7 +270,7 @@
             return self._give_up(answer.reason, answer.message)
         return [self._dispatch(resume=True)]
 
-    def suspected(self, *, attempt: int) -> list[Decision]:
+    def on_engine_suspected(self, *, attempt: int) -> list[Decision]:
         """Start a hedged attempt beside one whose engine is suspected to be dead.
 
         The first of them to produce tokens is kept and the other one is cancelled.
--- a/lagoonlever/entry/generations/task.py
+++ b/lagoonlever/entry/generations/task.py
@@ -127,7 +127,7 @@
     def suspected(self, attempt: int) -> None:
         """Begin a hedge, where the organisation allows it: an attempt's engine seems dead."""
         if self._hedges:
-            self._carry_out(self._life.suspected(attempt=attempt))
+            self._carry_out(self._life.on_engine_suspected(attempt=attempt))
 
     def declared_dead(self, attempt: int) -> None:
         """Drop an attempt and resume elsewhere: its engine counts as dead."""
--- a/lagoonlever/tests/generation_tests.py
+++ b/lagoonlever/tests/generation_tests.py
@@ -268,7 +268,11 @@
     @rule(dead=st.booleans())
     def an_engine_freezes(self, dead: bool) -> None:
         attempt = self.harness.lifecycle.live_attempts[0]
-        decide = self.harness.lifecycle.declared_dead if dead else self.harness.lifecycle.suspected
+        decide = (
+            self.harness.lifecycle.declared_dead
+            if dead
+            else self.harness.lifecycle.on_engine_suspected
+        )
         self.harness.carry_out(decide(attempt=attempt))
 
     @precondition(_is_open)
