--- a/lagoonlever/decisions/streams/generation.py
+++ b/lagoonlever/decisions/streams/generation.py
@@ -286,7 +286,7 @@
             return []
         return [self._dispatch(hedge=True, resume=True, avoid=frozenset({current.target}))]
 
-    def declared_dead(self, *, attempt: int) -> list[Decision]:
+    def on_engine_dead(self, *, attempt: int) -> list[Decision]:
         """Drop an attempt whose engine is declared dead, and continue on another engine."""
         return self.on_attempt_failed(attempt=attempt, cause=FailureCause.SILENT)
 
--- a/lagoonlever/entry/generations/task.py
+++ b/lagoonlever/entry/generations/task.py
@@ -132,7 +132,7 @@
     def declared_dead(self, attempt: int) -> None:
         """Drop an attempt and resume elsewhere: its engine counts as dead."""
         self._stop_attempt(attempt)
-        self._carry_out(self._life.declared_dead(attempt=attempt))
+        self._carry_out(self._life.on_engine_dead(attempt=attempt))
 
     def ends_known(self) -> None:
         """Leave engines that have not begun, where the request is known to end them."""
--- a/lagoonlever/tests/generation_tests.py
+++ b/lagoonlever/tests/generation_tests.py
@@ -67,7 +67,7 @@
     harness = Harness(lifecycle(cls)).begin()
     frozen = harness.newest()
     harness.step(frozen, offset)
-    harness.carry_out(harness.lifecycle.declared_dead(attempt=frozen.dispatch.attempt))
+    harness.carry_out(harness.lifecycle.on_engine_dead(attempt=frozen.dispatch.attempt))
     harness.step(harness.newest(), 2)
     harness.step(frozen, 3)
     harness.run_out()
@@ -269,7 +269,7 @@
     def an_engine_freezes(self, dead: bool) -> None:
         attempt = self.harness.lifecycle.live_attempts[0]
         decide = (
-            self.harness.lifecycle.declared_dead
+            self.harness.lifecycle.on_engine_dead
             if dead
             else self.harness.lifecycle.on_engine_suspected
         )
