--- a/lagoonlever/decisions/streams/copy_policy.py
+++ b/lagoonlever/decisions/streams/copy_policy.py
@@ -52,7 +52,7 @@
     _retry_at: float = float("-inf")
     _leaves_at: float = float("inf")
 
-    def growing(self, holder: str | None) -> None:
+    def record_incremental_copy(self, holder: str | None) -> None:
         """Record a new attempt whose engine copies the run to ``holder``; None for no copy."""
         self.kind = CopyKind.GROWING if holder else CopyKind.NONE
         self.holder = holder
--- a/lagoonlever/gateway/copy_keeper.py
+++ b/lagoonlever/gateway/copy_keeper.py
@@ -61,7 +61,7 @@
     async def run(self) -> None:
         """Look at the copy now and then, until cancelled."""
         keeping = self._keeping
-        keeping.growing(self._run.copy_holder)
+        keeping.record_incremental_copy(self._run.copy_holder)
         while True:
             await trio.sleep(CHECK_S)
             usable = self._is_usable(keeping.holder)
