--- a/lagoonlever/decisions/streams/copy_policy.py
+++ b/lagoonlever/decisions/streams/copy_policy.py
@@ -72,7 +72,7 @@
         stale = now - self._made_at >= REFRESH_SHARE_OF_RETENTION * self._retention_s
         return stale or self._made_at < last_at <= now
 
-    def engine_leaves(self, at: float) -> None:
+    def set_engine_departure(self, at: float) -> None:
         """Record when the run's own engine leaves, so that a last copy is made before that."""
         self._leaves_at = at
 
--- a/lagoonlever/gateway/copy_keeper.py
+++ b/lagoonlever/gateway/copy_keeper.py
@@ -50,7 +50,7 @@
 
     def engine_leaves(self, at: float) -> None:
         """Have the copy made anew before the run's own engine leaves."""
-        self._keeping.engine_leaves(at)
+        self._keeping.set_engine_departure(at)
 
     @MECHANISMS.register(
         "copy-keeping",
--- a/lagoonlever/tests/engine_reports_tests.py
+++ b/lagoonlever/tests/engine_reports_tests.py
@@ -82,7 +82,7 @@
     keeping = CopyPolicy(retention_s=4.0)
     keeping.called("e2", 10.0)
     assert not keeping.due(11.2, holder_usable=True)
-    keeping.engine_leaves(11.2 + LAST_COPY_S)
+    keeping.set_engine_departure(11.2 + LAST_COPY_S)
     assert not keeping.due(11.1, holder_usable=True)
     assert keeping.due(11.2, holder_usable=True)
     keeping.called("e2", 11.2)
