--- a/lagoonlever/decisions/streams/copy_policy.py
+++ b/lagoonlever/decisions/streams/copy_policy.py
@@ -76,7 +76,7 @@
         """Record when the run's own engine leaves, so that a last copy is made before that."""
         self._leaves_at = at
 
-    def called(self, holder: str, now: float) -> None:
+    def record_copy(self, holder: str, now: float) -> None:
         """Record an on-demand copy that succeeded."""
         self.kind = CopyKind.CALLED
         self.holder = holder
--- a/lagoonlever/gateway/copy_keeper.py
+++ b/lagoonlever/gateway/copy_keeper.py
@@ -72,7 +72,7 @@
             if isinstance(copied, str):
                 keeping.failed(self._timers.now)
             else:
-                keeping.called(copied.holder, self._timers.now)
+                keeping.record_copy(copied.holder, self._timers.now)
                 self._called_copy = copied
                 self._on_copied(copied)
             self._tell(to, copied)
--- a/lagoonlever/tests/engine_reports_tests.py
+++ b/lagoonlever/tests/engine_reports_tests.py
@@ -80,12 +80,12 @@
 def test_a_called_copy_is_fresh_when_the_run_s_engine_leaves() -> None:
     """Guards against a run resumed from a copy that is a second old and made again from there."""
     keeping = CopyPolicy(retention_s=4.0)
-    keeping.called("e2", 10.0)
+    keeping.record_copy("e2", 10.0)
     assert not keeping.due(11.2, holder_usable=True)
     keeping.set_engine_departure(11.2 + LAST_COPY_S)
     assert not keeping.due(11.1, holder_usable=True)
     assert keeping.due(11.2, holder_usable=True)
-    keeping.called("e2", 11.2)
+    keeping.record_copy("e2", 11.2)
     assert not keeping.due(11.4, holder_usable=True)
 
 
