--- a/lagoonlever/decisions/streams/copy_policy.py
+++ b/lagoonlever/decisions/streams/copy_policy.py
@@ -82,6 +82,6 @@
         self.holder = holder
         self._made_at = now
 
-    def failed(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Record an on-demand copy that failed, and delay the next one."""
         self._retry_at = now + RETRY_S
--- a/lagoonlever/gateway/copy_keeper.py
+++ b/lagoonlever/gateway/copy_keeper.py
@@ -70,7 +70,7 @@
             to = await self._new_holder(keeping.holder if usable else None)
             copied = await self._copy_to(to)
             if isinstance(copied, str):
-                keeping.failed(self._timers.now)
+                keeping.record_failure(self._timers.now)
             else:
                 keeping.record_copy(copied.holder, self._timers.now)
                 self._called_copy = copied
