--- a/lagoonlever/bench/stream_day_model.py
+++ b/lagoonlever/bench/stream_day_model.py
@@ -28,7 +28,7 @@
 from lagoonlever.decisions.engines.engine_book import EngineBook
 from lagoonlever.decisions.settings.configuration import EngineLimits
 from lagoonlever.decisions.streams.engine_runs import EngineRun, RunCopy
-from lagoonlever.decisions.streams.life import (
+from lagoonlever.decisions.streams.stream_lifecycle import (
     GiveUp,
     PlaceAttempt,
     ResumeFromCopy,
--- a/lagoonlever/bench/stream_day_types.py
+++ b/lagoonlever/bench/stream_day_types.py
@@ -8,7 +8,7 @@
 from lagoonlever.config.options import option
 from lagoonlever.decisions.engines.engine_book import COPIES_MOST
 from lagoonlever.decisions.streams.engine_runs import RunCopy
-from lagoonlever.decisions.streams.life import StreamLifecycle
+from lagoonlever.decisions.streams.stream_lifecycle import StreamLifecycle
 
 MOST_EVENTS = 190
 """What callers announce as the longest answer."""
--- a/lagoonlever/gateway/attempt_planner.py
+++ b/lagoonlever/gateway/attempt_planner.py
@@ -8,7 +8,11 @@
 
 from lagoonlever.decisions.admission.room import RefusedWithReturn
 from lagoonlever.decisions.streams.engine_runs import EngineRun, RunCopy
-from lagoonlever.decisions.streams.life import PlaceAttempt, ResumeFromCopy, StreamLifecycle
+from lagoonlever.decisions.streams.stream_lifecycle import (
+    PlaceAttempt,
+    ResumeFromCopy,
+    StreamLifecycle,
+)
 from lagoonlever.decisions.streams.run_placement import (
     RetryBudgetExhausted,
     NoEngine,
--- a/lagoonlever/gateway/reporter.py
+++ b/lagoonlever/gateway/reporter.py
@@ -5,7 +5,7 @@
 import attrs
 import logbook
 
-from lagoonlever.decisions.streams.life import StreamLifecycle
+from lagoonlever.decisions.streams.stream_lifecycle import StreamLifecycle
 from lagoonlever.gateway import events, metrics
 from lagoonlever.gateway.accepted import Accepted
 from lagoonlever.gateway.tally import Tally
--- a/lagoonlever/gateway/stream_admission.py
+++ b/lagoonlever/gateway/stream_admission.py
@@ -10,7 +10,7 @@
 from lagoonlever.decisions.admission.prompt_admission import come_back_s
 from lagoonlever.decisions.admission.room import RefusedWithReturn
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS, gives
-from lagoonlever.decisions.streams.life import (
+from lagoonlever.decisions.streams.stream_lifecycle import (
     GiveUp,
     PlaceAttempt,
     ResumeFromCopy,
--- a/lagoonlever/gateway/stream_attempt.py
+++ b/lagoonlever/gateway/stream_attempt.py
@@ -10,7 +10,7 @@
 from lagoonlever.decisions.engines.engine_rank import rank_at_engine
 from lagoonlever.decisions.engines.engine_reports import is_preempted
 from lagoonlever.decisions.streams.engine_runs import RunCopy
-from lagoonlever.decisions.streams.life import EventVerdict, StreamLifecycle
+from lagoonlever.decisions.streams.stream_lifecycle import EventVerdict, StreamLifecycle
 from lagoonlever.decisions.streams.silence import (
     PAUSE_ALLOWED_S,
     RunStatus,
--- a/lagoonlever/tests/stream_life_tests.py
+++ b/lagoonlever/tests/stream_life_tests.py
@@ -8,7 +8,7 @@
 from hypothesis.stateful import run_state_machine_as_test as run_machine
 
 from lagoonlever.decisions.streams.engine_runs import RunCopy
-from lagoonlever.decisions.streams.life import (
+from lagoonlever.decisions.streams.stream_lifecycle import (
     MAX_ENGINE_ROUNDS,
     EventVerdict,
     GiveUp,
