--- a/lagoonlever/decisions/streams/generation.py
+++ b/lagoonlever/decisions/streams/generation.py
@@ -17,10 +17,10 @@
 from lagoonlever.decisions.streams.generation_messages import (
     NOTHING_TO_CANCEL,
     TARGET_NOT_TO_BLAME,
-    FailureCause,
     CancelAttempt,
     Decision,
     Dispatch,
+    FailureCause,
     Finish,
     GenerationLimits,
     GenerationSpec,
--- a/lagoonlever/entry/engines/engines.py
+++ b/lagoonlever/entry/engines/engines.py
@@ -11,7 +11,7 @@
 from lagoonlever.decisions.admission.admission import AdmissionRequest
 from lagoonlever.decisions.routing.routing import Choice, ModelQuery, RequestFeatures, Router
 from lagoonlever.decisions.shares.shares import work_of
-from lagoonlever.decisions.streams.generation_messages import FailureCause, Dispatch, GenerationSpec
+from lagoonlever.decisions.streams.generation_messages import Dispatch, FailureCause, GenerationSpec
 from lagoonlever.decisions.targets.targets import ModelKey, Target, TargetState, TargetView
 from lagoonlever.entry.engines.crashes import EngineCrashes
 from lagoonlever.entry.engines.watch import EngineWatch, SuspicionListener
--- a/lagoonlever/entry/generations/task.py
+++ b/lagoonlever/entry/generations/task.py
@@ -10,10 +10,10 @@
 
 from lagoonlever.decisions.streams.generation import GenerationLifecycle
 from lagoonlever.decisions.streams.generation_messages import (
-    FailureCause,
     CancelAttempt,
     Decision,
     Dispatch,
+    FailureCause,
     Finish,
     GenerationSpec,
     Release,
--- a/lagoonlever/gateway/attempt_planner.py
+++ b/lagoonlever/gateway/attempt_planner.py
@@ -8,19 +8,19 @@
 
 from lagoonlever.decisions.admission.room import RefusedWithReturn
 from lagoonlever.decisions.streams.engine_runs import EngineRun, RunCopy
-from lagoonlever.decisions.streams.stream_lifecycle import (
-    PlaceAttempt,
-    ResumeFromCopy,
-    StreamLifecycle,
-)
 from lagoonlever.decisions.streams.run_placement import (
-    RetryBudgetExhausted,
     NoEngine,
     Overloaded,
     Placed,
     PlacementRequest,
+    RetryBudgetExhausted,
     RunOutcome,
 )
+from lagoonlever.decisions.streams.stream_lifecycle import (
+    PlaceAttempt,
+    ResumeFromCopy,
+    StreamLifecycle,
+)
 from lagoonlever.decisions.targets.limit_permits import need_of
 from lagoonlever.decisions.targets.listed_target import ListedTarget
 from lagoonlever.gateway.accepted import Accepted
--- a/lagoonlever/gateway/copy_keeper.py
+++ b/lagoonlever/gateway/copy_keeper.py
@@ -10,8 +10,8 @@
 
 from lagoonlever.decisions.settings.configuration import EngineLimits
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS, gives
-from lagoonlever.decisions.streams.engine_runs import EngineRun, RunCopy
 from lagoonlever.decisions.streams.copy_policy import CHECK_S, CopyPolicy
+from lagoonlever.decisions.streams.engine_runs import EngineRun, RunCopy
 from lagoonlever.decisions.streams.run_placement import Placed, PlacementRequest
 from lagoonlever.decisions.targets.listed_target import ListedTarget
 from lagoonlever.gateway import events, metrics
--- a/lagoonlever/gateway/stream_admission.py
+++ b/lagoonlever/gateway/stream_admission.py
@@ -10,6 +10,7 @@
 from lagoonlever.decisions.admission.prompt_admission import come_back_s
 from lagoonlever.decisions.admission.room import RefusedWithReturn
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS, gives
+from lagoonlever.decisions.streams.run_placement import Overloaded
 from lagoonlever.decisions.streams.stream_lifecycle import (
     GiveUp,
     PlaceAttempt,
@@ -17,7 +18,6 @@
     StreamLifecycle,
     WaitForEngine,
 )
-from lagoonlever.decisions.streams.run_placement import Overloaded
 from lagoonlever.decisions.streams.time import min_time_s
 from lagoonlever.gateway import events
 from lagoonlever.gateway.accepted import Accepted
--- a/lagoonlever/gateway/stream_attempt.py
+++ b/lagoonlever/gateway/stream_attempt.py
@@ -10,16 +10,16 @@
 from lagoonlever.decisions.engines.engine_rank import rank_at_engine
 from lagoonlever.decisions.engines.engine_reports import is_preempted
 from lagoonlever.decisions.streams.engine_runs import RunCopy
-from lagoonlever.decisions.streams.stream_lifecycle import EventVerdict, StreamLifecycle
 from lagoonlever.decisions.streams.silence import (
     PAUSE_ALLOWED_S,
-    RunStatus,
     QueryEngine,
+    RunStatus,
     SilenceDetector,
     WaitUntil,
     first_query_delay_s,
 )
 from lagoonlever.decisions.streams.silence import AttemptLost as SilenceLost
+from lagoonlever.decisions.streams.stream_lifecycle import EventVerdict, StreamLifecycle
 from lagoonlever.decisions.targets.limit_permits import Denied
 from lagoonlever.decisions.targets.replacements import LifeSigns
 from lagoonlever.exceptions import BadResponse, ConnectionBroken
--- a/lagoonlever/gateway/streams.py
+++ b/lagoonlever/gateway/streams.py
@@ -8,8 +8,8 @@
 
 from lagoonlever.decisions.admission.room import RefusedWithReturn
 from lagoonlever.decisions.streams.engine_runs import EngineRun, RunCopy
+from lagoonlever.decisions.streams.run_placement import Overloaded, RetryBudgetExhausted
 from lagoonlever.decisions.streams.stream_lifecycle import GiveUp, StreamLifecycle, WaitForEngine
-from lagoonlever.decisions.streams.run_placement import RetryBudgetExhausted, Overloaded
 from lagoonlever.gateway import events
 from lagoonlever.gateway.accepted import Accepted
 from lagoonlever.gateway.answers import tell
--- a/lagoonlever/peers/messages_placement.py
+++ b/lagoonlever/peers/messages_placement.py
@@ -11,11 +11,11 @@
 from lagoonlever.decisions.engines.engine_paces import KeptPace
 from lagoonlever.decisions.streams.engine_runs import EngineRun
 from lagoonlever.decisions.streams.run_placement import (
-    RetryBudgetExhausted,
     NoEngine,
     Overloaded,
     Placed,
     PlacementRequest,
+    RetryBudgetExhausted,
     RunOutcome,
 )
 from lagoonlever.http.messages import Address
--- a/lagoonlever/tests/engine_book_tests.py
+++ b/lagoonlever/tests/engine_book_tests.py
@@ -8,8 +8,8 @@
 
 from lagoonlever.decisions.engines.engine_avoidance import FIRST_AVOID_S
 from lagoonlever.decisions.engines.engine_book import (
-    EngineRun,
     EngineBook,
+    EngineRun,
     RunCopy,
 )
 from lagoonlever.decisions.engines.engine_paces import PRIOR_PROMPT_TOKEN_S
--- a/lagoonlever/tests/generation_tests.py
+++ b/lagoonlever/tests/generation_tests.py
@@ -13,9 +13,9 @@
 
 from lagoonlever.decisions.streams.generation import GenerationLifecycle
 from lagoonlever.decisions.streams.generation_messages import (
-    FailureCause,
     Decision,
     Dispatch,
+    FailureCause,
     Finish,
     ResumePoint,
 )
--- a/lagoonlever/tests/placer_tests.py
+++ b/lagoonlever/tests/placer_tests.py
@@ -18,9 +18,9 @@
     placing_fleet,
 )
 from lagoonlever.decisions.streams.run_placement import (
-    RetryBudgetExhausted,
     Placed,
     PlacementRequest,
+    RetryBudgetExhausted,
 )
 from lagoonlever.gateway.placer import ANSWER_S
 from lagoonlever.peers.messages import PEER
--- a/lagoonlever/tests/run_placement_tests.py
+++ b/lagoonlever/tests/run_placement_tests.py
@@ -12,12 +12,12 @@
 from lagoonlever.decisions.settings.configuration import EngineLimits
 from lagoonlever.decisions.streams.engine_runs import EngineRun
 from lagoonlever.decisions.streams.run_placement import (
-    RetryBudgetExhausted,
     NoEngine,
     Overloaded,
     Placed,
     PlacementContext,
     PlacementRequest,
+    RetryBudgetExhausted,
     place_run,
     reserved_run,
 )
