--- a/lagoonlever/bench/stream_day_model.py
+++ b/lagoonlever/bench/stream_day_model.py
@@ -173,7 +173,7 @@
         stream.copy = self._copy_of(stream, stream.engine, now)
         if stream.copy is None or not stream.run.made:
             return
-        stream.life.copied(stream.copy)
+        stream.life.record_copy(stream.copy)
         self._hold_copy(stream, stream.run)
 
     def _unlist(self, name: str, now: float) -> None:
@@ -184,7 +184,7 @@
         if stream.attempt != attempt or stream.engine is None or stream.ended_at is not None:
             return
         stream.met_loss = True
-        stream.life.lost(stream.engine.id, "lost", read=stream.last_at is not None)
+        stream.life.record_loss(stream.engine.id, "lost", read=stream.last_at is not None)
         self._ask(stream, now)
 
     def _ask(self, stream: ModelStream, now: float) -> None:
@@ -202,7 +202,7 @@
         if isinstance(step, ResumeFromCopy):
             holder = self._engines.get(step.copy.holder)
             if holder is None or step.copy.holder not in self._listed:
-                stream.life.copy_unusable()
+                stream.life.discard_copy()
                 self._ask(stream, now)
                 return
             self._begin(stream, holder, RESUMED_TOKENS, now)
@@ -243,11 +243,11 @@
         )
         engine = self._engines.get(placement.engine.id) if placement else None
         if placement is None:
-            stream.life.no_engine()
+            stream.life.record_no_engine()
             self._ask(stream, now)
         elif engine is None:
             # It has crashed silently and is still listed: the connection is refused.
-            stream.life.unreachable(placement.engine.id, "refused")
+            stream.life.record_unreachable(placement.engine.id, "refused")
             self._at(now + CLOSED_LOSS_S, partial(self._ask, stream))
         else:
             to_read = RESUMED_TOKENS if engine.id == step.prefer else stream.prompt
@@ -267,7 +267,7 @@
             on_tokens=lambda at, left: self._made(stream, left, at),
         )
         stream.run, stream.engine, stream.copy = run, engine, copy
-        stream.life.was_sent(copy=copy)
+        stream.life.record_sent(copy=copy)
         booked = EngineRun(
             request=stream.request,
             vm="vm",
@@ -305,27 +305,27 @@
         if stream.last_at is not None:
             stream.longest_pause_s = max(stream.longest_pause_s, at - stream.last_at)
         stream.last_at = at
-        stream.life.event(made // stream.event_tokens)
-        stream.life.pace.event(at)
+        stream.life.check_event(made // stream.event_tokens)
+        stream.life.timing.event(at)
         run = stream.run
         if run is not None and run.made <= stream.event_tokens:
             self._first_event(stream, run, at)
         if left == 0:
             stream.ended_at = at
             self._leave(stream, at)
-            event_s = stream.life.pace.event_s()
+            event_s = stream.life.timing.event_s()
             token_s = None if event_s is None else event_s / stream.event_tokens
             self._book.end(
                 stream.request,
                 at,
                 whole=True,
                 token_s=token_s,
-                slowdown=stream.life.pace.slowdown(),
+                slowdown=stream.life.timing.slowdown(),
                 tokens=stream.events * stream.event_tokens,
             )
 
     def _first_event(self, stream: ModelStream, run: ModelRun, at: float) -> None:
-        stream.life.flows()
+        stream.life.record_first_event()
         self._book.flows(stream.request, at)
         self._hold_copy(stream, run)
 
--- a/lagoonlever/decisions/engines/engine_book.py
+++ b/lagoonlever/decisions/engines/engine_book.py
@@ -406,8 +406,8 @@
             else:
                 load.prompts += 1
                 load.to_read_s += self._left_to_read_s(record, now)
-            if run.copy_at is not None:
-                holder = loads.setdefault(run.copy_at, EngineLoad())
+            if run.copy_holder is not None:
+                holder = loads.setdefault(run.copy_holder, EngineLoad())
                 holder.copies += 1
                 holder.copies_memory += run.memory_tokens
         return loads
--- a/lagoonlever/decisions/fleet/update_routing.py
+++ b/lagoonlever/decisions/fleet/update_routing.py
@@ -86,9 +86,9 @@
         run.vm
         for run in runs
         if run.engine in lost
-        or run.copy_at in lost
+        or run.copy_holder in lost
         or data_center_of(run.engine) in places
-        or (run.copy_at is not None and data_center_of(run.copy_at) in places)
+        or (run.copy_holder is not None and data_center_of(run.copy_at) in places)
     )
 
 
--- a/lagoonlever/gateway/attempt_planner.py
+++ b/lagoonlever/gateway/attempt_planner.py
@@ -206,7 +206,7 @@
         waited_s=now - accepted.arrived,
         first_event_in_s=accepted.arrived + accepted.route.objective_s - now,
         end_in_s=accepted.left_s(now),
-        broken_off=life.begun or bool(life.position),
+        broken_off=life.response_started or bool(life.position),
         refusable=not life.runs and not life.position,
     )
 
@@ -215,11 +215,11 @@
     life: StreamLifecycle, step: PlaceAttempt | ResumeFromCopy, outcome: Placed | NoEngine
 ) -> None:
     if isinstance(step, ResumeFromCopy):
-        life.copy_unusable()
+        life.discard_copy()
     elif isinstance(outcome, Placed):
-        life.unreachable(outcome.engine, "it is not listed here")
+        life.record_unreachable(outcome.engine, "it is not listed here")
     else:
-        life.no_engine()
+        life.record_no_engine()
 
 
 def _growing_copy(accepted: Accepted, holder: ListedTarget) -> RunCopy:
--- a/lagoonlever/gateway/reporter.py
+++ b/lagoonlever/gateway/reporter.py
@@ -79,11 +79,11 @@
     def stream_ended(self, accepted: Accepted, ending: Ending, life: StreamLifecycle) -> None:
         """Tell of a stream, with what its caller saw of its pace."""
         seconds = self._count(accepted, ending)
-        first_at = life.pace.first_at
+        first_at = life.timing.first_at
         first_s = None if first_at is None else first_at - accepted.arrived
         if first_s is not None:
             self.tally.record(metrics.FIRST_EVENT_LATENCY, first_s)
-            self.tally.record(metrics.LONGEST_PAUSE, life.pace.longest_pause_s)
+            self.tally.record(metrics.LONGEST_PAUSE, life.timing.longest_pause_s)
         events.STREAM_ENDED.log(
             log,
             request=accepted.request_id,
@@ -96,7 +96,7 @@
             attempts=life.sent,
             position=life.position,
             first_s=first_s,
-            pause_s=life.pace.longest_pause_s,
+            pause_s=life.timing.longest_pause_s,
             detail=ending.detail,
         )
 
--- a/lagoonlever/gateway/stream_attempt.py
+++ b/lagoonlever/gateway/stream_attempt.py
@@ -270,7 +270,7 @@
     ) -> Response | bytes | None:
         """Wait for the next bytes, and ask the engine when they are late."""
         while True:
-            step = silence.decide(self._now)
+            step = silence.next_step(self._now)
             if isinstance(step, SilenceLost):
                 raise _Ended(step.reason, unanswered=step.unanswered)
             if isinstance(step, QueryEngine):
@@ -289,7 +289,7 @@
         report = await self._tools.prober.ask(self._plan.engine)
         if not connection.quiet:
             # Something has arrived meanwhile: that says more than any report.
-            silence.answered(RunStatus.RUNNING, self._now)
+            silence.record_status(RunStatus.RUNNING, self._now)
             return
         self._take_report(report)
         run = report.run(self._accepted.request_id) if report else None
@@ -308,7 +308,7 @@
             report=str(report),
         )
         self._tools.reporter.tally.add(metrics.ENGINE_QUESTIONS, answer.value)
-        silence.answered(answer, self._now, events_ahead=ahead)
+        silence.record_status(answer, self._now, events_ahead=ahead)
         if answer is RunStatus.QUEUED and report is not None and not self._answered:
             self._leave_stuck_queue(report)
 
@@ -399,7 +399,7 @@
                 seconds=silence.silence_s(now),
                 position=self._life.position,
             )
-        silence.event(now)
+        silence.record_event(now)
 
     async def _lost(self, ended: _Ended) -> None:
         """Ask the engine whether it lives: one that only lost an answer is not left by all."""
--- a/lagoonlever/gateway/streams.py
+++ b/lagoonlever/gateway/streams.py
@@ -69,13 +69,13 @@
 
     def _ended_run(self, accepted: Accepted, life: StreamLifecycle, *, whole: bool) -> RunEnded:
         """Give the end of a run, with the pace that its last engine has shown."""
-        event_s = life.pace.event_s()
+        event_s = life.timing.event_s()
         event_tokens = self._beliefs.engine_limits(accepted.service).event_tokens
         return RunEnded(
             request=accepted.request_id,
             whole=whole,
             token_s=None if event_s is None else event_s / event_tokens,
-            slowdown=life.pace.slowdown(),
+            slowdown=life.timing.slowdown(),
             tokens=(life.position or 0) * event_tokens,
         )
 
@@ -117,7 +117,7 @@
         if life.whole:
             self._ended(accepted, life, OK, "done", life.detail)
             return
-        if life.begun:
+        if life.response_started:
             self._ended(accepted, life, OK, "failed", gave_up.detail if gave_up else "time is over")
             return
         outcome = self._outcome(accepted, life, gave_up)
--- a/lagoonlever/tests/generation_harness.py
+++ b/lagoonlever/tests/generation_harness.py
@@ -76,14 +76,14 @@
         decisions: list[Decision] = []
         if not self.opened:
             self.opened = True
-            decisions += lifecycle.opened(
+            decisions += lifecycle.on_opened(
                 attempt=attempt, model_version=self.version, prompt_token_ids=PROMPT
             )
         token_id = next_token(self.state)
         self.state = self.state.extended(token_id)
         self.sent += 1
         done = self.sent >= self.dispatch.max_tokens
-        return decisions + lifecycle.chunk(
+        return decisions + lifecycle.on_chunk(
             attempt=attempt,
             token_ids=(token_id,),
             text=self.decoder.feed(token_id),
--- a/lagoonlever/tests/generation_tests.py
+++ b/lagoonlever/tests/generation_tests.py
@@ -208,8 +208,8 @@
     machine = lifecycle()
     (first,) = machine.start()
     assert isinstance(first, Dispatch)
-    machine.placed(attempt=first.attempt, target="dead")
-    (second,) = machine.broken(attempt=first.attempt, cause=FailureCause.CONNECT_FAILED)
+    machine.record_target(attempt=first.attempt, target="dead")
+    (second,) = machine.on_attempt_failed(attempt=first.attempt, cause=FailureCause.CONNECT_FAILED)
     assert isinstance(second, Dispatch)
     assert second.avoid == {"dead"}
 
--- a/lagoonlever/tests/stream_silence_tests.py
+++ b/lagoonlever/tests/stream_silence_tests.py
@@ -26,28 +26,28 @@
 
 def test_a_flowing_stream_is_queried_after_a_few_mean_gaps() -> None:
     silence, last = flowing()
-    assert silence.decide(last + MIN_SUSPECT_S * 0.9) == WaitUntil(at=last + MIN_SUSPECT_S)
-    assert isinstance(silence.decide(last + MIN_SUSPECT_S * 1.1), QueryEngine)
+    assert silence.next_step(last + MIN_SUSPECT_S * 0.9) == WaitUntil(at=last + MIN_SUSPECT_S)
+    assert isinstance(silence.next_step(last + MIN_SUSPECT_S * 1.1), QueryEngine)
 
 
 def test_a_slow_engine_gets_more_time_up_to_half_of_the_accepted_pause() -> None:
     silence, last = flowing(spacing_s=0.23)
-    step = silence.decide(last)
+    step = silence.next_step(last)
     assert isinstance(step, WaitUntil)
     assert MIN_SUSPECT_S < step.at - last <= QUERY_SHARE_OF_PAUSE * PAUSE_ALLOWED_S + 1e-9
 
 
 def test_an_attempt_is_lost_if_its_engine_does_not_answer() -> None:
     silence, last = flowing()
-    silence.answered(RunStatus.NONE, last + 0.25)
-    step = silence.decide(last + 0.25)
+    silence.record_status(RunStatus.NONE, last + 0.25)
+    step = silence.next_step(last + 0.25)
     assert isinstance(step, AttemptLost) and step.unanswered
 
 
 def test_an_attempt_that_its_engine_still_runs_is_kept() -> None:
     silence, last = flowing()
-    silence.answered(RunStatus.RUNNING, last + 0.15)
-    assert isinstance(silence.decide(last + 0.16), WaitUntil)
+    silence.record_status(RunStatus.RUNNING, last + 0.15)
+    assert isinstance(silence.next_step(last + 0.16), WaitUntil)
 
 
 def test_before_the_first_event_one_unanswered_query_is_not_enough() -> None:
@@ -96,9 +96,9 @@
     queries to engines that all worked, in a day of 160 streams.
     """
     silence, last = flowing(spacing_s=0.46, events=40)
-    step = silence.decide(last + 0.47)
+    step = silence.next_step(last + 0.47)
     assert isinstance(step, WaitUntil)
-    assert isinstance(silence.decide(last + 0.7), QueryEngine)
+    assert isinstance(silence.next_step(last + 0.7), QueryEngine)
 
 
 def test_half_of_the_pause_that_a_route_accepts_is_left_for_the_resume() -> None:
@@ -118,5 +118,5 @@
 
 def test_a_run_is_lost_if_its_engine_was_restarted() -> None:
     silence, last = flowing()
-    silence.answered(RunStatus.STARTED_AGAIN, last + 0.2)
-    assert isinstance(silence.decide(last + 0.2), AttemptLost)
+    silence.record_status(RunStatus.STARTED_AGAIN, last + 0.2)
+    assert isinstance(silence.next_step(last + 0.2), AttemptLost)
