--- a/lagoonlever/bench/stream_day_model.py
+++ b/lagoonlever/bench/stream_day_model.py
@@ -306,7 +306,7 @@
             stream.longest_pause_s = max(stream.longest_pause_s, at - stream.last_at)
         stream.last_at = at
         stream.life.check_event(made // stream.event_tokens)
-        stream.life.timing.event(at)
+        stream.life.timing.record_event(at)
         run = stream.run
         if run is not None and run.made <= stream.event_tokens:
             self._first_event(stream, run, at)
--- a/lagoonlever/decisions/fleet/update_routing.py
+++ b/lagoonlever/decisions/fleet/update_routing.py
@@ -88,7 +88,7 @@
         if run.engine in lost
         or run.copy_holder in lost
         or data_center_of(run.engine) in places
-        or (run.copy_holder is not None and data_center_of(run.copy_at) in places)
+        or (run.copy_holder is not None and data_center_of(run.copy_holder) in places)
     )
 
 
