--- a/lagoonlever/decisions/streams/orphans.py
+++ b/lagoonlever/decisions/streams/orphans.py
@@ -50,7 +50,10 @@
     _reported_to: dict[str, Incarnation] = attrs.field(factory=dict)
 
     def due(self, open_since: dict[str, float], now: float) -> list[str]:
-        """Return the ids of the open streams that are old enough to be reported and were not reported yet."""
+        """Return the ids of the open streams that are now old enough to be reported.
+
+        Streams that were reported already are left out.
+        """
         return [
             stream_id
             for stream_id, since in open_since.items()
--- a/lagoonlever/decisions/streams/silence.py
+++ b/lagoonlever/decisions/streams/silence.py
@@ -113,11 +113,11 @@
     """
 
     _sent_at: float
-    _first_ask_s: float = FIRST_QUERY_S
+    _first_query_s: float = FIRST_QUERY_S
     _pause_allowed_s: float = PAUSE_ALLOWED_S
     _last_event_at: float = attrs.field(default=attrs.Factory(lambda self: self._sent_at, True))
     _query_at: float = attrs.field(
-        default=attrs.Factory(lambda self: self._sent_at + self._first_ask_s, True)
+        default=attrs.Factory(lambda self: self._sent_at + self._first_query_s, True)
     )
     _flowing: bool = False
     _mean_gap_s: float = 0.05
@@ -177,7 +177,7 @@
             self._loss_reason = f"silent for {silent_s:.2f} s and does not run it"
         elif events_ahead >= UNDELIVERED_EVENTS and silent_s >= UNDELIVERED_TIMEOUT_S:
             self._loss_reason = f"silent for {silent_s:.2f} s with {events_ahead} events made"
-        first_again_s = FIRST_QUERY_INTERVAL_FACTOR * self._first_ask_s
+        first_again_s = FIRST_QUERY_INTERVAL_FACTOR * self._first_query_s
         self._query_at = now + (FLOWING_QUERY_INTERVAL_S if self._flowing else first_again_s)
 
     @property
--- a/lagoonlever/gateway/stream_attempt.py
+++ b/lagoonlever/gateway/stream_attempt.py
@@ -209,7 +209,7 @@
         usual_s = self._tools.beliefs.book.paces.usual_reading_s(service)
         return SilenceDetector(
             sent_at=self._now,
-            first_query_delay_s=first_query_delay_s(
+            first_query_s=first_query_delay_s(
                 usual_reading_s=usual_s, objective_s=route.objective_s
             ),
             pause_allowed_s=route.pause_objective_s or PAUSE_ALLOWED_S,
--- a/lagoonlever/tests/generation_tests.py
+++ b/lagoonlever/tests/generation_tests.py
@@ -38,8 +38,8 @@
 class AcceptsLateTokens(GenerationLifecycle):
     """Fault: tokens of a closed attempt are accepted as those of an open one."""
 
-    def chunk(self, *, attempt: int, **values: object) -> list[Decision]:
-        return super().chunk(
+    def on_chunk(self, *, attempt: int, **values: object) -> list[Decision]:
+        return super().on_chunk(
             attempt=attempt if attempt in self._open_attempts else min(self._open_attempts),
             **values,
         )
@@ -55,8 +55,8 @@
 class AcceptsAnyVersion(GenerationLifecycle):
     """Fault: an engine with another model version continues the answer."""
 
-    def opened(self, *, model_version: str, **values: object) -> list[Decision]:
-        return super().opened(model_version="v1", **values)
+    def on_opened(self, *, model_version: str, **values: object) -> list[Decision]:
+        return super().on_opened(model_version="v1", **values)
 
 
 def released_with_freeze_at(offset: int, cls: type[GenerationLifecycle]) -> list[int]:
