--- a/lagoonlever/tests/orphans_tests.py
+++ b/lagoonlever/tests/orphans_tests.py
@@ -119,11 +119,11 @@
 def test_without_the_check_of_the_last_owner_a_record_is_lost(monkeypatch) -> None:
     """A previous owner reports the end of its stream, which continues under the next owner."""
 
-    def closed(self, stream_ids, *, owner) -> None:
+    def remove_records(self, stream_ids, *, owner) -> None:
         for stream_id in stream_ids:
             self._records.pop(stream_id, None)
 
-    monkeypatch.setattr(OrphanRegistry, "closed", closed)
+    monkeypatch.setattr(OrphanRegistry, "remove_records", remove_records)
     with pytest.raises(AssertionError):
         run_state_machine_as_test(OrphanMachine, settings=LIMITS)
 
