--- a/lagoonlever/decisions/streams/generation_messages.py
+++ b/lagoonlever/decisions/streams/generation_messages.py
@@ -1,6 +1,6 @@
 """Data types of the generation state machine: request, limits, failure causes and decisions.
 
-The state machine (`GenerationLife`) returns decisions and the entry VM carries them
+The state machine (`GenerationLifecycle`) returns decisions and the entry VM carries them
 out; the types here are shared by both sides.
 """
 
