--- a/lagoonlever/decisions/streams/silence.py
+++ b/lagoonlever/decisions/streams/silence.py
@@ -154,14 +154,14 @@
             return WaitUntil(at=self._query_at)
         return QueryEngine()
 
-    def record_status(self, answer: RunStatus, now: float, *, events_ahead: int = 0) -> None:
+    def record_status(self, status: RunStatus, now: float, *, events_ahead: int = 0) -> None:
         """Record the run's status as the engine reported it at ``now``.
 
         ``events_ahead`` is the number of events that the engine produced and this VM has not
         received.
         """
         silent_s = now - self._last_event_at
-        if answer is RunStatus.NONE:
+        if status is RunStatus.NONE:
             self._unanswered += 1
             if self._flowing or self._suspected or self._unanswered > 1:
                 self._loss_reason = f"silent for {silent_s:.2f} s and does not answer"
@@ -169,16 +169,16 @@
             return
         self._unanswered = 0
         self._suspected = False
-        if answer is RunStatus.STARTED_AGAIN:
+        if status is RunStatus.STARTED_AGAIN:
             self._loss_reason = f"silent for {silent_s:.2f} s, and its engine has started again"
-        elif answer is RunStatus.PREEMPTED:
+        elif status is RunStatus.PREEMPTED:
             self._loss_reason = f"silent for {silent_s:.2f} s, and its engine has preempted it"
-        elif answer is RunStatus.NOT_THERE and silent_s >= UNLISTED_TIMEOUT_S:
+        elif status is RunStatus.NOT_THERE and silent_s >= UNLISTED_TIMEOUT_S:
             self._loss_reason = f"silent for {silent_s:.2f} s and does not run it"
         elif events_ahead >= UNDELIVERED_EVENTS and silent_s >= UNDELIVERED_TIMEOUT_S:
             self._loss_reason = f"silent for {silent_s:.2f} s with {events_ahead} events made"
-        first_again_s = FIRST_QUERY_INTERVAL_FACTOR * self._first_query_s
-        self._query_at = now + (FLOWING_QUERY_INTERVAL_S if self._flowing else first_again_s)
+        first_interval_s = FIRST_QUERY_INTERVAL_FACTOR * self._first_query_s
+        self._query_at = now + (FLOWING_QUERY_INTERVAL_S if self._flowing else first_interval_s)
 
     @property
     def _query_delay_s(self) -> float:
