--- a/lagoonlever/bench/membership_runs.py
+++ b/lagoonlever/bench/membership_runs.py
@@ -12,7 +12,7 @@
 from lagoonlever.bench.membership_network import Network, Node, node_address, node_name
 from lagoonlever.bench.report import column
 from lagoonlever.decisions.membership.membership import MemberState
-from lagoonlever.decisions.membership.table import MemberTable, record_of
+from lagoonlever.decisions.membership.table import MemberTable, new_record
 from lagoonlever.peers.frames import encode_header
 from lagoonlever.peers.messages import PEER
 from lagoonlever.peers.messages_membership import Gossip, MemberUpdate, Status
@@ -106,7 +106,7 @@
     table = MemberTable()
     sender = network.start(0)
     news = sender.protocol.own_update(0.0)
-    table.put(record_of(news, 0.0))
+    table.put(new_record(news, 0.0))
     size = 0
     begun = time.process_time()
     for turn in range(rounds):
@@ -298,8 +298,8 @@
     before, _ = tracemalloc.get_traced_memory()
     table = MemberTable()
     for index in range(nodes):
-        table.put(record_of(_news(index), 0.0))
-    view = tuple(record.member(0.0, usual_load=0.0) for record in table)
+        table.put(new_record(_news(index), 0.0))
+    view = tuple(record.member(0.0, default_load=0.0) for record in table)
     after, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     assert len(view) == nodes
--- a/lagoonlever/decisions/fleet/__init__.py
+++ b/lagoonlever/decisions/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The VMs of a gateway fleet: who is there, who tells whom, addresses for callers."""
+"""The VMs of a fleet: which are present, their roles, and the addresses callers are given."""
--- a/lagoonlever/decisions/fleet/addresses.py
+++ b/lagoonlever/decisions/fleet/addresses.py
@@ -1,4 +1,8 @@
-"""The answer to "which entry VM should I use": a short list, spread by load and data centre."""
+"""The answer to "which entry VM should I use": a short list, spread by load and data centre.
+
+The list is drawn at random for each caller, so that callers do not all move to the same VM, and
+its lifetime varies, so that they do not all ask again at the same moment.
+"""
 
 from __future__ import annotations
 
@@ -11,10 +15,11 @@
 from lagoonlever.decisions.membership.membership import Member, MemberState, MemberView
 from lagoonlever.http.messages import Address
 
-LEAST_SPARE = 0.05
-"""The weight of a member that reports itself full: loads lag, so none is left out."""
+MIN_SPARE_CAPACITY = 0.05
+"""The spare capacity (a share of 1) that a member is drawn by if it reports less. Reported loads
+lag behind, so a member that reports itself full may have capacity again and stays in the draw."""
 JITTER = 0.2
-"""Share of the lifetime by which answers differ, so that callers do not ask in step."""
+"""The share of the lifetime by which answers differ, so that callers do not ask in step."""
 
 
 @attrs.define(kw_only=True)
@@ -37,7 +42,11 @@
 
     @property
     def served_after_leaving_s(self) -> float:
-        """How long callers may still come to a VM that leaves, with an address told in time."""
+        """How long callers may still use an address of a VM after it began to leave.
+
+        Other VMs may hand out the address for ``news_s``, and callers keep it for at most the
+        lifetime with its jitter.
+        """
         return self.news_s + self.lifetime_s * (1 + JITTER)
 
 
@@ -54,25 +63,28 @@
 ) -> EntryAddresses:
     """Choose the addresses for one caller; a leaving or dead VM is never among them.
 
-    Each answer is drawn by spare capacity and not ranked by it: loads lag, and a
+    Members are drawn by spare capacity and not ranked by it: reported loads lag behind, so a
     ranking would send every caller to the same VM at once.
     """
-    chosen = spread_over_data_centers(_drawn(_candidates(view), random))[: settings.count]
-    spread_s = settings.lifetime_s * JITTER
+    chosen = spread_over_data_centers(_draw(_candidates(view), random))[: settings.count]
+    jitter_s = settings.lifetime_s * JITTER
     return EntryAddresses(
         addresses=tuple(member.http for member in chosen),
-        lifetime_s=settings.lifetime_s + random.uniform(-spread_s, spread_s),
+        lifetime_s=settings.lifetime_s + random.uniform(-jitter_s, jitter_s),
     )
 
 
 def _candidates(view: MemberView) -> list[Member]:
+    """Return the alive members, or the suspected ones if none is alive."""
     alive = list(view.alive)
     if alive:
         return alive
     return [member for member in view.members if member.state is MemberState.SUSPECT]
 
 
-def _drawn(members: list[Member], random: Random) -> list[Member]:
+def _draw(members: list[Member], random: Random) -> list[Member]:
     """Order members at random, weighted by spare capacity, without replacement."""
-    keyed = [(random.expovariate(max(LEAST_SPARE, 1.0 - m.load)), m.name, m) for m in members]
+    keyed = [
+        (random.expovariate(max(MIN_SPARE_CAPACITY, 1.0 - m.load)), m.name, m) for m in members
+    ]
     return [member for _, _, member in sorted(keyed, key=lambda entry: entry[:2])]
--- a/lagoonlever/decisions/fleet/data_centers.py
+++ b/lagoonlever/decisions/fleet/data_centers.py
@@ -1,4 +1,8 @@
-"""Orders members so that the first few of them stand in different data centres."""
+"""Reorders a ranking so that its first items are in different data centres.
+
+Used where a few items are taken from the front: the failure of one data centre, or of the links
+to it, then does not affect all of them.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +11,7 @@
 
 
 class Located(Protocol):
-    """What stands in a data centre."""
+    """An object that is in a data centre."""
 
     @property
     def data_center(self) -> str:
@@ -18,7 +22,7 @@
 
 
 def spread_over_data_centers(ranked: Iterable[LocatedT]) -> list[LocatedT]:
-    """Put the first of each data centre ahead of the second of any, else in the given order."""
+    """Return the first item of each data centre, then all others; each group in the given order."""
     seen: set[str] = set()
     first: list[LocatedT] = []
     rest: list[LocatedT] = []
--- a/lagoonlever/decisions/fleet/digests.py
+++ b/lagoonlever/decisions/fleet/digests.py
@@ -1,4 +1,7 @@
-"""Which of several hubs' digests of one data centre are worth passing on."""
+"""Which of the digests that several hubs send for one data centre are forwarded.
+
+A hub's digest is the set of the VMs (by the nonce of their incarnation) that it hears itself.
+"""
 
 from __future__ import annotations
 
@@ -6,20 +9,20 @@
 from collections.abc import Set as AbstractSet
 
 
-def maximal_digests(heard: Sequence[AbstractSet[int]]) -> list[int]:
-    """Give the numbers of those sets of lives that no other one contains; of equal ones the last.
+def maximal_digests(digests: Sequence[AbstractSet[int]]) -> list[int]:
+    """Return the indexes of the digests that no other contains; of equal ones the last.
 
-    The hubs of a data centre have heard the same VMs but for moments, so one of their
-    digests does. Not any one: a VM that was cut off takes itself for a hub for a while, and
-    its digest names hardly anybody. Passed on in the place of a real hub's, it made all
-    VMs of that data centre silent for everybody elsewhere, their runs were forgotten, and
-    callers were no longer sent there.
+    The hubs of a data centre hear the same VMs except for brief differences, so one of their
+    digests is enough. It must not be an arbitrary one: a VM that was cut off takes itself for a
+    hub for a while, and its digest names hardly any VM. Forwarded in the place of a real hub's
+    digest, it made all VMs of that data centre appear silent to the other data centres: their
+    runs were discarded, and callers were no longer sent there.
     """
     return [
-        number
-        for number, lives in enumerate(heard)
+        index
+        for index, nonces in enumerate(digests)
         if not any(
-            lives < other or (lives == other and number < later)
-            for later, other in enumerate(heard)
+            nonces < other or (nonces == other and index < later)
+            for later, other in enumerate(digests)
         )
     ]
--- a/lagoonlever/decisions/fleet/peer_table.py
+++ b/lagoonlever/decisions/fleet/peer_table.py
@@ -1,11 +1,11 @@
-"""The fellow VMs: who they are, and which of them callers may be sent to.
-
-Two sources, neither of them a promise. The store's register tells which VMs exist and
-where their bus listens; it is read once, and lags a death by the life of a lease. What
-VMs say of themselves several times a second, to each other or through hubs, tells who
-is alive and takes callers now. A VM that has fallen silent, or was never heard though
-it is registered, is dead or cut off: a caller sent there would lose its one retry, so
-it is left out within a second or two.
+"""The other gateway VMs (peers) that a VM knows, and which of them callers may be sent to.
+
+There are two sources, and either may be out of date. The register in the store says which VMs
+exist and where their bus listens; it is read once, and an entry outlives its VM until the lease
+expires. The states that VMs announce several times a second, to each other or through hubs, say
+which are alive and accept callers now. A VM that has fallen silent, or is registered but was
+never heard, is dead or cut off. A caller sent there would use up its only retry, so the VM is
+left out within a second or two.
 """
 
 from __future__ import annotations
@@ -20,182 +20,201 @@
 from lagoonlever.revisions import NOWHERE, Revision
 
 ANNOUNCE_INTERVAL_S = 0.3
+"""The interval at which a VM announces its state."""
 SILENCE_TIMEOUT_S = 1.0
-"""Three words missed: one lost, or late by a slow turn, doesn't take a VM out."""
+"""How long a VM may go unheard before it counts as silent: three announcements. One that is lost
+or delayed by a slow event loop does not exclude the VM."""
 HUB_SILENCE_TIMEOUT_S = 2.0
-"""Where hubs pass words on: the time to find another hub, and an interval for each hop."""
+"""The same where hubs forward the announcements. It leaves the time to find another hub, and one
+interval for each hop."""
 MAX_BLIND_S = 1.0
-"""How long a VM goes on with what it knew of a data centre that no hub tells of.
+"""How much longer the peers of a data centre count as present when no hub reports on it.
 
 Other hubs are found and answer within 2.2 s of a loss; what was known lasts 2.7 s.
 """
 DISCOVERY_S = 3.0
-"""After a start every VM that lives has been heard."""
-FLEET_AT_START = 100
-"""What is assumed until then: more than the fleets served, and a share that allows one repeat."""
-NEWS_ROUNDS = 10
-"""Digests in which a hub tells every state once, so that a lost one is made good.
-
-A tenth each time: all at once are some 800 KB from a hub of 26 VMs.
+"""How long after its start a VM has heard of every live peer."""
+INITIAL_FLEET_SIZE = 100
+"""The fleet size assumed during ``DISCOVERY_S``. It is above that of the fleets served, and small
+enough that the VM's share of the fleet's retry budget still allows one retry."""
+REPEAT_ROUNDS = 10
+"""The minimum number of digests over which a hub repeats every state once, since the announcement
+of a changed state may have been lost.
+
+Each digest repeats a tenth of the states: all at once are some 800 KB from a hub of 26 VMs.
 """
-REPEATED_MOST = 3
-"""States that one digest repeats: with a tenth of a hundred VMs, 200 bytes each, digests of
-300 VMs took 45 KB a second of each VM's link; so a larger fleet takes more rounds.
+MAX_REPEATED_STATES = 3
+"""The number of states that one digest repeats at most; a larger fleet takes more rounds.
+
+With a tenth of a hundred VMs in each digest, at 200 bytes a state, the digests of 300 VMs took
+45 KB a second of each VM's link.
 """
-FORGET_S = 30.0
-"""Beyond any lease, so that a dead VM's entry is not taken for a new VM."""
+FORGET_AFTER_S = 30.0
+"""How long a silent VM stays in the table. This is longer than any lease, so that the register
+entry of a dead VM is not taken for a new VM."""
 
 
 @attrs.frozen(kw_only=True)
 class PeerState:
-    """What a VM says of itself."""
+    """What a VM announces about itself."""
 
     life: Incarnation
     data_center: str
     callers: Address
     """Where it listens for callers."""
     bus: Address
+    """Where it listens for messages of other VMs."""
     takes_callers: bool = True
     leaving: bool = False
     configuration: int = 0
-    """The version it has in force; 0 for none."""
+    """The version of the configuration in force there; 0 for none."""
     list_revision: Revision = NOWHERE
     """The store's revision of its list of targets."""
     store_away: bool = False
-    """It has tried to reach the store of late, and could not."""
+    """Whether it recently tried to reach the store and could not."""
     link_mbps: float = 0.0
-    """How much its link carries; 0 where it was not told."""
+    """The capacity of its network link in Mbit/s; 0 if unknown."""
 
     def is_update_of(self, former: PeerState | None) -> bool:
-        """Tell whether hubs pass this on at once to those who know ``former``.
+        """Check whether hubs forward this state at once to VMs that know ``former``.
 
-        What a VM knows of the configuration and of the list is no news: it changes on
-        every VM with each change, and hubs told the states of all VMs to all VMs (7.4 MB
-        in 3 s after five changes at 69 VMs, 3.1 MB without). A hub's own knowledge is in
-        each digest, and who lacks something asks the hub.
+        A new version of the configuration or revision of the target list is not a reason: it
+        changes on every VM with each change, so hubs sent the states of all VMs to all VMs
+        (7.4 MB in 3 s after five changes at 69 VMs, 3.1 MB without). Each digest contains what
+        the hub itself has, and a VM that lacks it requests it from the hub.
         """
         if former is None:
             return True
-        alike = attrs.evolve(
+        comparable = attrs.evolve(
             former, configuration=self.configuration, list_revision=self.list_revision
         )
-        return self != alike
+        return self != comparable
 
 
 def repeats_in_round(number: int, *, speakers: int, in_round: int) -> bool:
-    """Tell whether a hub repeats the state of one of the VMs that speak to it in this round."""
-    rounds = max(NEWS_ROUNDS, math.ceil(speakers / REPEATED_MOST))
+    """Check whether a hub's digest of round ``in_round`` repeats the state of VM ``number``.
+
+    ``speakers`` is the number of VMs that announce themselves to the hub, ``number`` the index
+    of one of them.
+    """
+    rounds = max(REPEAT_ROUNDS, math.ceil(speakers / MAX_REPEATED_STATES))
     return (number + in_round) % rounds == 0
 
 
 @attrs.define(kw_only=True)
-class _Fellow:
+class _Peer:
     state: PeerState
     known_at: float
-    """When it was last heard, or first read of."""
+    """When it was last heard, or first read from the register."""
     heard: bool = False
+    """Whether it was heard, directly or through a hub, and not only registered."""
 
 
 @attrs.define(kw_only=True)
 class PeerTable:
-    """The newest life of each VM but this one; times are seconds of the monotonic clock."""
+    """The newest incarnation of each VM but this one; times in seconds of the monotonic clock."""
 
     _own: Incarnation
     silent_s: float = SILENCE_TIMEOUT_S
     started_at: float = float("-inf")
     """When this VM began to listen."""
     blind_since: Mapping[str, float] = attrs.field(factory=dict)
-    """Data centres that nothing is heard of, and since when: silence there tells nothing."""
-    _fellows: dict[str, _Fellow] = attrs.field(factory=dict)
+    """The data centres that no hub reports on, and since when: peers that are not heard there
+    need not be dead."""
+    _peers: dict[str, _Peer] = attrs.field(factory=dict)
     _names: dict[int, str] = attrs.field(factory=dict)
-    """By the random number of each life, which is how digests name it."""
+    """Names by the nonce of the incarnation, which is how digests refer to VMs."""
 
     @property
     def states(self) -> tuple[PeerState, ...]:
-        """What is known of every fellow, heard or registered."""
-        return tuple(fellow.state for fellow in self._fellows.values())
+        """The known states of all peers, heard or registered."""
+        return tuple(peer.state for peer in self._peers.values())
 
     def max_fleet_size(self, now: float) -> int:
-        """Give how many VMs there may be, this one among them.
+        """Return the number of VMs that there may be, this one among them.
 
-        A VM that has just started knows of few. Taken for the whole fleet, they would let
-        each of 69 VMs that restart together spend what is meant for all of them.
+        A VM that has just started knows few peers. If it took them for the whole fleet, each of
+        69 VMs that restart together would spend the retry budget that is meant for all of them.
         """
-        known = len(self._fellows) + 1
-        settled = now - self.started_at >= DISCOVERY_S
-        return known if settled else max(known, FLEET_AT_START)
+        known = len(self._peers) + 1
+        discovered = now - self.started_at >= DISCOVERY_S
+        return known if discovered else max(known, INITIAL_FLEET_SIZE)
 
     def present(self, now: float) -> tuple[PeerState, ...]:
-        """Give the fellows that are not silent."""
-        return tuple(f.state for f in self._fellows.values() if not self._is_silent(f, now))
+        """Return the states of the peers that are not silent."""
+        return tuple(p.state for p in self._peers.values() if not self._is_silent(p, now))
 
     def find(self, name: str) -> PeerState | None:
-        """Give what is known of a VM, or None."""
-        fellow = self._fellows.get(name)
-        return fellow.state if fellow else None
+        """Return the known state of a VM, or None."""
+        peer = self._peers.get(name)
+        return peer.state if peer else None
 
     def record_state(self, state: PeerState, now: float) -> bool:
-        """Take what a VM says of itself; gives True for a life that was not heard before."""
+        """Record the state that a VM announced; return whether its incarnation is new here.
+
+        An announcement of a former incarnation, or of this VM itself, is ignored.
+        """
         if state.life.name == self._own.name:
             return False
-        known = self._fellows.get(state.life.name)
+        known = self._peers.get(state.life.name)
         if known is not None and self._is_former(state, known, now):
             return False
-        self._put(_Fellow(state=state, known_at=now, heard=True))
+        self._put(_Peer(state=state, known_at=now, heard=True))
         return known is None or known.state.life != state.life or not known.heard
 
-    def record_digest(self, numbers: Iterable[int], now: float) -> bool:
-        """Take the lives that a hub has heard; gives False where one is not known here."""
+    def record_digest(self, nonces: Iterable[int], now: float) -> bool:
+        """Record which incarnations a hub hears; return whether all of them are known here."""
         all_known = True
-        for number in numbers:
-            fellow = self._fellows.get(self._names.get(number, ""))
-            if fellow is not None and fellow.state.life.nonce == number:
-                fellow.known_at = now
-                fellow.heard = True
-            elif number != self._own.nonce:
+        for nonce in nonces:
+            peer = self._peers.get(self._names.get(nonce, ""))
+            if peer is not None and peer.state.life.nonce == nonce:
+                peer.known_at = now
+                peer.heard = True
+            elif nonce != self._own.nonce:
                 all_known = False
         return all_known
 
     def record_registration(self, state: PeerState, now: float) -> None:
-        """Take an entry of the register; what the VM itself said goes before it."""
+        """Record an entry of the register, unless this incarnation or a newer one is known."""
         if state.life.name == self._own.name:
             return
-        known = self._fellows.get(state.life.name)
+        known = self._peers.get(state.life.name)
         if known is None or known.state.life < state.life:
-            self._put(_Fellow(state=state, known_at=now))
+            self._put(_Peer(state=state, known_at=now))
 
     def accepting_callers(self, now: float) -> tuple[PeerState, ...]:
-        """Give the VMs that callers may be sent to."""
+        """Return the states of the peers that callers may be sent to."""
         return tuple(
             state for state in self.present(now) if state.takes_callers and not state.leaving
         )
 
     def expire(self, now: float) -> None:
-        """Forget VMs that have been silent for long."""
-        for name, fellow in list(self._fellows.items()):
-            if now - fellow.known_at > FORGET_S:
-                del self._fellows[name]
-                self._names.pop(fellow.state.life.nonce, None)
-
-    def _put(self, fellow: _Fellow) -> None:
-        life = fellow.state.life
-        former = self._fellows.get(life.name)
+        """Remove the peers that have been silent for ``FORGET_AFTER_S``."""
+        for name, peer in list(self._peers.items()):
+            if now - peer.known_at > FORGET_AFTER_S:
+                del self._peers[name]
+                self._names.pop(peer.state.life.nonce, None)
+
+    def _put(self, peer: _Peer) -> None:
+        incarnation = peer.state.life
+        former = self._peers.get(incarnation.name)
         if former is not None:
             self._names.pop(former.state.life.nonce, None)
-        self._fellows[life.name] = fellow
-        self._names[life.nonce] = life.name
+        self._peers[incarnation.name] = peer
+        self._names[incarnation.nonce] = incarnation.name
 
-    def _is_former(self, state: PeerState, known: _Fellow, now: float) -> bool:
-        """Tell whether a word is of a life before the known one.
+    def _is_former(self, state: PeerState, known: _Peer, now: float) -> bool:
+        """Check whether a state is that of an incarnation before the known one.
 
-        Lives are ordered by the time of day, which may jump back: then a VM that has
-        restarted seems older than the life that it replaced, and would be ignored. The
-        former life says nothing any more, so once it is silent the word is believed.
+        Incarnations are ordered by the wall clock, which may be set back: a VM that restarts
+        then seems older than the incarnation it replaces, and would be ignored. The former
+        incarnation announces nothing any more, so the state is accepted once it is silent.
         """
         return state.life < known.state.life and not self._is_silent(known, now)
 
-    def _is_silent(self, fellow: _Fellow, now: float) -> bool:
-        blind_since = self.blind_since.get(fellow.state.data_center)
+    def _is_silent(self, peer: _Peer, now: float) -> bool:
+        blind_since = self.blind_since.get(peer.state.data_center)
         if blind_since is not None:
+            # Up to MAX_BLIND_S without reports on the data centre does not count as silence.
             now = max(blind_since, now - MAX_BLIND_S)
-        return now - fellow.known_at > self.silent_s
+        return now - peer.known_at > self.silent_s
--- a/lagoonlever/decisions/fleet/planned_stop.py
+++ b/lagoonlever/decisions/fleet/planned_stop.py
@@ -1,8 +1,8 @@
-"""When a VM that was told to stop may end: when nothing is held, and nobody still comes.
+"""When a VM that was told to stop may end its process: no open work, and no caller to come.
 
-Callers keep an address for its lifetime, so a VM that is leaving goes on
-accepting for that long. A second signal changes nothing: it must not cut what
-the first one lets finish.
+Callers keep an address for its lifetime, so a VM that is leaving goes on accepting requests for
+that long. A second stop signal has no effect: it must not interrupt the work that the first one
+allows to finish.
 """
 
 from __future__ import annotations
@@ -13,18 +13,18 @@
 
 
 class StopPhase(enum.Enum):
-    """How far a planned stop is."""
+    """The phase of a planned stop."""
 
     SERVING = "serving"
     LEAVING = "leaving"
-    """Callers are sent elsewhere; whoever still comes is served."""
+    """Callers are sent to other VMs; a request that still arrives here is served."""
     ENDED = "ended"
-    """Nothing is held and nobody comes: the process may end."""
+    """No work is open and no caller can still arrive: the process may end."""
 
 
 @attrs.frozen(kw_only=True)
 class OpenWork:
-    """Counts of what a VM still serves, by kind."""
+    """The counts of what a VM still serves, by kind."""
 
     generations: int = 0
     keyed_requests: int = 0
@@ -33,29 +33,32 @@
 
     @property
     def pending(self) -> bool:
-        """Whether ending now would cut something."""
+        """Whether ending the process now would interrupt any work."""
         return bool(self.generations or self.keyed_requests or self.exchanges or self.connections)
 
 
 @attrs.define(kw_only=True)
 class PlannedStop:
-    """The state of a VM's stop; times are seconds of the monotonic clock."""
+    """The state of a VM's planned stop; times in seconds of the monotonic clock."""
 
     _address_lifetime_s: float
+    """How long after the stop begins callers may still arrive."""
     _quiet_s: float
+    """How long no work must have been open before the stop ends."""
     _began_at: float | None = None
     _busy_at: float = 0.0
+    """When work was last open."""
     _ended: bool = False
 
     @property
     def phase(self) -> StopPhase:
-        """How far the stop is."""
+        """The current phase."""
         if self._began_at is None:
             return StopPhase.SERVING
         return StopPhase.ENDED if self._ended else StopPhase.LEAVING
 
     def begin(self, now: float) -> bool:
-        """Begin to leave; gives False where that had begun already."""
+        """Begin the stop; return False if it had begun already."""
         if self._began_at is not None:
             return False
         self._began_at = now
@@ -63,11 +66,10 @@
         return True
 
     def observe(self, open_work: OpenWork, now: float) -> StopPhase:
-        """Take the work that is open now and give the phase.
+        """Update the phase by the work that is open now, and return it.
 
-        The quiet time guards against a request that sits in the listener's
-        backlog: it was accepted by the kernel, shows in no count yet, and would
-        be cut by closing the listener.
+        The quiet time guards against a request in the listener's backlog: the kernel has
+        accepted it, no count includes it yet, and closing the listener would interrupt it.
         """
         if self._began_at is None or self._ended:
             return self.phase
--- a/lagoonlever/decisions/fleet/queue_coordinators.py
+++ b/lagoonlever/decisions/fleet/queue_coordinators.py
@@ -1,9 +1,9 @@
-"""Which VM keeps the line for room at a service's engines.
+"""Which VM coordinates the queue for capacity of a service's engines.
 
-The load that is answered: urgent and patient prompts come to hundreds of VMs, each of which
-sees one in some seconds. An order among all of them needs one place where they meet. Each VM
-works out alike which one that is, among those that hear of all runs: any VM in a fleet that
-tells runs to everyone, a hub in a larger one. Different services meet at different VMs.
+Prompts of different priority arrive at hundreds of VMs, each of which sees one only every few
+seconds. To order all of them, one VM has to hold the queue. Each VM computes by itself which one
+that is, among those that hear of all runs: any VM of a fleet that sends run updates directly,
+a hub of a larger one. Different services have different coordinators.
 """
 
 from __future__ import annotations
@@ -16,17 +16,22 @@
 from lagoonlever.decisions.fleet.update_routing import sends_directly
 
 MAX_COORDINATORS_ASKED = 2
-"""VMs that are asked for a line before one goes without: the keeper, and who takes it over."""
+"""The number of VMs that are asked before a prompt is placed without the queue: the coordinator,
+and the VM that succeeds it."""
 
 
 def queue_coordinators(
     service: str, *, roles: Roles, own: str, leaving: bool, present: Iterable[PeerState]
 ) -> tuple[str, ...]:
-    """Give the VM that keeps a service's line, and who follows it; ``own`` may be among them."""
-    fellows = list(present)
-    staying = {state.life.name for state in fellows if not state.leaving}
-    if not sends_directly(len(fellows)):
+    """Return the VM that coordinates a service's queue, then its successors in order.
+
+    VMs that are leaving are left out. ``leaving`` is whether this VM, ``own``, is; it may be
+    among the result.
+    """
+    peers = list(present)
+    staying = {state.life.name for state in peers if not state.leaving}
+    if not sends_directly(len(peers)):
         staying &= {*roles.hubs, *roles.other_hubs}
-    if not leaving and (roles.is_hub or sends_directly(len(fellows))):
+    if not leaving and (roles.is_hub or sends_directly(len(peers))):
         staying.add(own)
     return tuple(rank_by_hash(staying, purpose=f"line {service}"))
--- a/lagoonlever/decisions/fleet/rendezvous.py
+++ b/lagoonlever/decisions/fleet/rendezvous.py
@@ -1,4 +1,7 @@
-"""An order of names that every VM works out alike, another one for each purpose."""
+"""Rendezvous hashing: an order of names that every VM computes alike, different for each purpose.
+
+VMs that agree on the names choose the same ones without exchanging a message.
+"""
 
 from __future__ import annotations
 
@@ -7,20 +10,20 @@
 
 import xxhash
 
-MOST_KNOWN = 4096
-"""Hashes that are kept: some purposes of a thousand names."""
+MAX_CACHED_HASHES = 4096
+"""The number of hashes that are cached: enough for several purposes with a thousand names."""
 
 
 def rank_by_hash(names: Iterable[str], *, purpose: str) -> list[str]:
-    """Give the names by the hash of purpose and name.
+    """Return the names ordered by the hash of purpose and name.
 
-    While views agree every VM finds the same first few; where they differ by a name,
-    the others keep their places.
+    VMs with the same names find the same first few. Where their names differ by one, the others
+    keep their order.
     """
-    return sorted(names, key=lambda name: _rank(purpose, name))
+    return sorted(names, key=lambda name: _hash(purpose, name))
 
 
-@functools.lru_cache(maxsize=MOST_KNOWN)
-def _rank(purpose: str, name: str) -> int:
-    """Give a name's place; kept, as each VM works out the roles of hundreds 3 times a second."""
+@functools.lru_cache(maxsize=MAX_CACHED_HASHES)
+def _hash(purpose: str, name: str) -> int:
+    """Return a name's hash, cached since each VM ranks hundreds of names 3 times a second."""
     return xxhash.xxh3_64_intdigest(f"{purpose}|{name}".encode())
--- a/lagoonlever/decisions/fleet/update_routing.py
+++ b/lagoonlever/decisions/fleet/update_routing.py
@@ -1,10 +1,10 @@
-"""Whom a VM tells of news itself, and what it leaves to the hubs of other data centres.
+"""Which VMs a VM sends updates to itself, and which it leaves to the hubs.
 
-The load that is answered: a data centre's engines come back together, each an entry of
-its own, and three readers tell each change to every VM. Messages grow with changes times
-readers times VMs, and two thirds of them cross between data centres, where bytes are
-dear. In a very large fleet a reader therefore tells its own data centre, and the hubs of
-the others, who pass on what was new to them.
+When a data centre's engines come back together, each is a change of its own, and three readers
+of the store send each change to every VM. The number of messages grows with changes times
+readers times VMs, and two thirds of them cross between data centres, where traffic is expensive.
+In a very large fleet a reader therefore sends a change to its own data centre and to the hubs of
+the others, which forward what is new to them.
 """
 
 from __future__ import annotations
@@ -16,26 +16,26 @@
 from lagoonlever.decisions.streams.booked_runs import BookedRun
 
 MAX_DIRECT_VMS = 120
-"""Up to this many VMs each tells all others itself.
+"""Up to this many other VMs, each VM sends updates to all of them itself.
 
-Hubs add a hop, and news that comes late costs worse placements: measured on 69 VMs,
-24,000 prompt tokens read in vain by hubs in place of 3,000 told directly.
+Hubs add a hop, and an update that arrives late leads to worse placements: on 69 VMs, hubs caused
+24,000 prompt tokens to be prefilled in vain, direct updates 3,000.
 """
 
 
 def sends_directly(present: int) -> bool:
-    """Tell whether a fleet of so many other VMs is told without hubs."""
+    """Check whether a fleet of this many other VMs sends updates directly, without hubs."""
     return present <= MAX_DIRECT_VMS
 
 
 def push_recipients(
     known: Collection[PeerState], *, data_center: str, far_hubs: Iterable[str]
 ) -> tuple[PeerState, ...]:
-    """Give the VMs that a reader in ``data_center`` tells of a change.
+    """Return the VMs that a reader in ``data_center`` sends a change to.
 
-    ``known`` are all VMs, also those that were not heard of late: one that seems silent
-    may only be behind a slow link, and would go on with what was taken away. ``far_hubs``
-    are all hubs of the other data centres, so that one of them may be dead.
+    ``known`` are all VMs, including those that are silent: one may only be behind a slow link,
+    and without the change it would go on using what was removed. ``far_hubs`` are all hubs of
+    the other data centres; more than one in each, since one may be dead.
     """
     if sends_directly(len(known)):
         return tuple(known)
@@ -46,24 +46,25 @@
 def forward_recipients(
     known: Collection[PeerState], *, data_center: str, source: str, is_hub: bool
 ) -> tuple[PeerState, ...]:
-    """Give the VMs that a VM in ``data_center`` passes news on to that was new to it.
+    """Return the VMs that a VM in ``data_center`` forwards an update to that was new to it.
 
-    Only a hub does, and only with news from elsewhere: a reader nearby has told all VMs
-    of the data centre itself.
+    Only a hub forwards, and only an update whose ``source`` is in another data centre: a reader
+    in the same one has sent it to all VMs of the data centre itself.
     """
     if not is_hub or sends_directly(len(known)):
         return ()
-    told_by = next((state for state in known if state.life.name == source), None)
-    if told_by is None or told_by.data_center == data_center:
+    sender = next((state for state in known if state.life.name == source), None)
+    if sender is None or sender.data_center == data_center:
         return ()
     return tuple(s for s in known if s.data_center == data_center and s.life.name != source)
 
 
 def placement_hubs(roles: Roles | None, *, own: str, present: int) -> tuple[str, ...]:
-    """Give the VMs to ask for a place, nearest first; none where this VM holds the book itself.
+    """Return the hubs that place this VM's runs, nearest first; none if it places them itself.
 
-    Up to ``MAX_DIRECT_VMS`` VMs every one hears of all runs. Beyond, the hubs do: each run told
-    to everyone took more of a VM's time than its own callers.
+    Up to ``MAX_DIRECT_VMS`` other VMs, every VM hears of all runs and can place its own. In a
+    larger fleet only the hubs do: sending each run to every VM took more of a VM's time than its
+    own callers did.
     """
     if roles is None or sends_directly(present) or roles.is_hub:
         return ()
@@ -76,26 +77,28 @@
     *,
     data_center_of: Callable[[str], str | None],
 ) -> frozenset[str]:
-    """Give the VMs that are to hear of lost engines at once.
+    """Return the VMs that are to be told of lost engines at once.
 
-    Those with a run in the data centre of a lost one, as its engines fail together, and
-    those whose run has its copy there, as it is to be copied anew.
+    These are the VMs with a run in the data centre of a lost engine, as its engines often fail
+    together, and those with a run whose KV-cache copy is there, as it has to be copied again.
     """
-    places = {data_center_of(engine) for engine in lost} - {None}
+    data_centers = {data_center_of(engine) for engine in lost} - {None}
     return frozenset(
         run.vm
         for run in runs
         if run.engine in lost
         or run.copy_at in lost
-        or data_center_of(run.engine) in places
-        or (run.copy_at is not None and data_center_of(run.copy_at) in places)
+        or data_center_of(run.engine) in data_centers
+        or (run.copy_at is not None and data_center_of(run.copy_at) in data_centers)
     )
 
 
 def hub_recipients(roles: Roles, *, own: str, source: str) -> tuple[str, ...]:
-    """Give the hubs that this VM tells what ``source``, itself perhaps, has told it.
+    """Return the hubs that this VM sends an update to that came from ``source``.
 
-    For news that each VM may have and few need: a VM tells its own hubs, and these the others.
+    ``source`` is this VM itself for an update of its own. The route is for updates that any VM
+    may have and few need: a VM sends it to its own hubs, and the hub that receives it from a VM
+    forwards it to all other hubs.
     """
     if not roles.is_hub:
         return roles.hubs if source == own else ()
--- a/lagoonlever/decisions/membership/__init__.py
+++ b/lagoonlever/decisions/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Gossip of the entry VMs: probes, suspicions, listings."""
+"""Group membership of the entry VMs: probes, suspicions, and the platform's list of VMs."""
--- a/lagoonlever/decisions/membership/listing.py
+++ b/lagoonlever/decisions/membership/listing.py
@@ -1,4 +1,9 @@
-"""How often a VM reads the platform's list of VMs, and what the list means for whom."""
+"""How often an entry VM reads the platform's list of VMs, and what it takes from the list.
+
+The list names the entry VMs, which the membership protocol contacts, and the targets, which the
+target watch follows. Each reading costs the platform more as the fleet grows, since the list
+grows too; therefore each VM reads less often in a larger fleet.
+"""
 
 from __future__ import annotations
 
@@ -14,12 +19,15 @@
 from lagoonlever.store.port import VmEntry, VmRole, VmState
 
 PERIOD_S = 1.0
+"""The interval between two readings of a VM in a fleet of up to ``FULL_RATE_MEMBERS`` VMs."""
 FULL_RATE_MEMBERS = 9
-"""Up to so many VMs each reads the list once a period."""
-GROWTH = 1.2
-"""Above one, since each reading gets larger with the fleet too: at 400 VMs each
-reads every 95 s and all together 4.2 times a second."""
+"""The largest fleet in which each VM reads the list once every ``PERIOD_S``."""
+GROWTH_EXPONENT = 1.2
+"""The exponent by which the interval grows with the fleet. It is above 1 because each reading
+gets larger with the fleet, too: of 400 VMs each reads every 95 s, all together 4.2 times a second.
+"""
 JITTER = 0.1
+"""The share of the interval by which it varies at random."""
 
 _TARGET_KINDS = {
     VmRole.ENGINE: TargetKind.ENGINE,
@@ -36,7 +44,7 @@
 
     @property
     def entry_vms(self) -> tuple[ListedVm, ...]:
-        """The entry VMs, as the membership protocol takes them."""
+        """The entry VMs, as input of the membership protocol."""
         return tuple(
             ListedVm(name=vm.name, peers=vm.peer_address, leaving=vm.state is VmState.LEAVING)
             for vm in self.vms
@@ -45,20 +53,22 @@
 
     @property
     def targets(self) -> TargetListReading:
-        """The targets, as the targets' watch takes them."""
-        return TargetListReading(targets=tuple(_targets(self.vms)), read_at=self.read_at)
+        """The targets, as input of the target watch."""
+        return TargetListReading(targets=tuple(_listed_targets(self.vms)), read_at=self.read_at)
 
 
 def list_read_interval_s(members: int, random: Random) -> float:
-    """Give the seconds until this VM reads the list again, among so many reachable VMs.
+    """Return the seconds until this VM reads the list again, given the number of reachable VMs.
 
-    A VM that reaches no other reads at the full rate: it has nobody to tell it.
+    A VM that reaches no other VM reads at the full rate, since no peer can pass on changes to it.
     """
-    crowd = max(1.0, members / FULL_RATE_MEMBERS)
-    return PERIOD_S * math.pow(crowd, GROWTH) * random.uniform(1 - JITTER, 1 + JITTER)
+    fleet_factor = max(1.0, members / FULL_RATE_MEMBERS)
+    return (
+        PERIOD_S * math.pow(fleet_factor, GROWTH_EXPONENT) * random.uniform(1 - JITTER, 1 + JITTER)
+    )
 
 
-def _targets(vms: Iterable[VmEntry]) -> Iterable[ListedTarget]:
+def _listed_targets(vms: Iterable[VmEntry]) -> Iterable[ListedTarget]:
     for vm in vms:
         kind = _TARGET_KINDS.get(vm.role)
         if kind is None:
--- a/lagoonlever/decisions/membership/membership.py
+++ b/lagoonlever/decisions/membership/membership.py
@@ -1,8 +1,8 @@
-"""What one VM believes of the entry VMs: the members, their states, their loads.
+"""The view that one VM has of the entry VMs: the members, their states and their loads.
 
-A view is a belief. ``DEAD`` means that nobody reached the member for a while; it
-may be paused or cut off, still act, and come back under the same incarnation.
-Only a newer incarnation of the same name proves that a life is over.
+A view may be wrong. ``DEAD`` means that no VM has reached the member for a while; the member
+may be paused or cut off, may still act, and may come back under the same incarnation. Only a
+newer incarnation of the same name proves that an incarnation has ended.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class MemberState(enum.Enum):
-    """The state of a member, as its VM's callers and peers should treat it."""
+    """The state of a member, by which callers and peers are directed to it or away from it."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -26,12 +26,14 @@
 
 @attrs.frozen(kw_only=True)
 class Member:
-    """One incarnation of an entry VM; ``load`` is the share of its capacity in use."""
+    """One incarnation of an entry VM; ``load`` is the share of its capacity in use (0 to 1)."""
 
     incarnation: Incarnation
     data_center: str
     http: Address
+    """Where it listens for callers."""
     peers: Address
+    """Where it listens for messages of other entry VMs."""
     state: MemberState
     load: float = 0.0
 
@@ -43,7 +45,7 @@
 
 @attrs.frozen(kw_only=True)
 class MemberView:
-    """All known members, one a name, ordered by name, with this VM among them."""
+    """All known members including this VM: one incarnation per name, ordered by name."""
 
     members: tuple[Member, ...]
     own: Incarnation
@@ -60,38 +62,38 @@
 
     @property
     def reachable(self) -> tuple[Member, ...]:
-        """The members that are worth a message: all but the dead."""
+        """The members that messages may be sent to: all but the dead."""
         return self._in_states(MemberState.ALIVE, MemberState.SUSPECT, MemberState.LEAVING)
 
     @property
     def own_member(self) -> Member | None:
-        """The own entry in the view; None when a newer life of its name is known."""
+        """The entry of this VM; None when a newer incarnation of its name is known."""
         return self.find(self.own)
 
     @property
     def own_state(self) -> MemberState | None:
-        """The state of the own entry; None when a newer life of its name is known."""
+        """The state of this VM; None when a newer incarnation of its name is known."""
         own = self.own_member
         return own.state if own is not None else None
 
     @property
     def superseded(self) -> bool:
-        """Whether a newer life of this VM's name is known, so that this process must end."""
+        """Whether a newer incarnation of this VM's name is known, so this process must end."""
         return self.own_member is None
 
     def find_by_name(self, name: str) -> Member | None:
-        """Give the newest known life of a VM."""
+        """Return the newest known incarnation of a VM, or None."""
         return self._by_name.get(name)
 
     def find(self, incarnation: Incarnation) -> Member | None:
-        """Give the member of exactly this incarnation."""
+        """Return the member of exactly this incarnation, or None."""
         member = self._by_name.get(incarnation.name)
         if member is None or member.incarnation != incarnation:
             return None
         return member
 
     def is_replaced(self, incarnation: Incarnation) -> bool:
-        """Whether a newer life of the same name proves that this one has been replaced."""
+        """Check whether a newer incarnation of the same name is known."""
         member = self._by_name.get(incarnation.name)
         return member is not None and member.incarnation > incarnation
 
--- a/lagoonlever/decisions/membership/outbox.py
+++ b/lagoonlever/decisions/membership/outbox.py
@@ -1,4 +1,8 @@
-"""The messages that the membership protocol wants sent."""
+"""The messages that the membership protocol has produced and its caller has yet to send.
+
+The protocol does no input or output itself: it adds messages here, and the caller takes and
+sends them.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +15,7 @@
 
 @attrs.frozen(kw_only=True)
 class Send:
-    """A message to send; ``expected`` is the life it is meant for, None for any."""
+    """A message to send; ``expected`` is the incarnation it is meant for, None for any."""
 
     to: Address
     message: MembershipMessage
@@ -20,7 +24,7 @@
 
 @attrs.define(kw_only=True)
 class Outbox:
-    """Gathers messages until the caller of the protocol takes them."""
+    """A buffer of messages between the protocol and the caller that sends them."""
 
     _sends: list[Send] = attrs.field(factory=list, init=False)
 
@@ -31,6 +35,6 @@
         self._sends.append(Send(to=to, message=message, expected=expected))
 
     def take(self) -> list[Send]:
-        """Give the messages, and forget them."""
+        """Remove and return all messages."""
         sends, self._sends = self._sends, []
         return sends
--- a/lagoonlever/decisions/membership/protocol.py
+++ b/lagoonlever/decisions/membership/protocol.py
@@ -1,8 +1,9 @@
-"""The membership protocol of one VM: messages and the time in, messages and views out.
+"""The membership protocol of one VM: takes messages and the time, returns messages and views.
 
-A SWIM protocol with local health: one probe a period, indirect probes by helpers,
-a suspicion that the member can answer. Probes go along a fixed overlay, on which
-changes are flooded at once; digests find what a flood missed.
+It is the SWIM protocol with local health awareness: one probe a period, indirect probes through
+helpers, and a suspicion that the suspected member can refute before it counts as dead. Probes go
+along a fixed overlay of neighbours, on which changes are flooded at once; digests of the views
+find the changes that a flood missed.
 """
 
 from __future__ import annotations
@@ -32,12 +33,14 @@
 )
 
 CONTACTS_AT_ONCE = 3
+"""The number of VMs that a VM without any known live member pings at once; others ping one."""
 SYNC_INTERVAL_S = 5.0
-SYNC_NEWS = 100
-"""Members in one message of a reply, which goes out in several where it must."""
+"""The minimum interval between two sync requests of this VM."""
+MAX_SYNC_UPDATES = 100
+"""The maximum number of members in one message of a sync reply; a larger reply is split."""
 LISTING_SETTLE_S = 30.0
-"""A life known for less is not marked by the platform's list, which lags and may
-still tell of the former life at the same address."""
+"""How long an incarnation must have been known before the platform's list may mark it as
+leaving. The list lags, and may still describe the former incarnation at the same address."""
 
 
 @attrs.frozen(kw_only=True)
@@ -51,7 +54,7 @@
 
 @attrs.define(kw_only=True, eq=False)
 class MembershipProtocol:
-    """The state machine; every input may leave messages in ``take_sends``."""
+    """The state machine; after every input, ``take_sends`` returns the messages to send."""
 
     _own: Member
     _settings: MembershipSettings
@@ -63,8 +66,8 @@
     _prober: Prober = attrs.field(init=False)
     _listed: tuple[ListedVm, ...] = attrs.field(default=(), init=False)
     _departed: bool = attrs.field(default=False, init=False)
-    _contact_due: float = attrs.field(default=float("-inf"), init=False)
-    _sync_due: float = attrs.field(default=float("-inf"), init=False)
+    _next_contact_at: float = attrs.field(default=float("-inf"), init=False)
+    _next_sync_at: float = attrs.field(default=float("-inf"), init=False)
 
     def __attrs_post_init__(self) -> None:
         self._roster = Roster(own=self._own, settings=self._settings, started_at=self._started_at)
@@ -82,35 +85,35 @@
 
     @property
     def silent(self) -> bool:
-        """Whether this life is over: told to depart, or superseded by a newer life."""
+        """Whether this incarnation sends nothing more: it has departed or was superseded."""
         return self._departed or self._roster.superseded
 
     @property
     def health_factor(self) -> int:
-        """By how much this VM stretches its timeouts: 1 when it trusts itself."""
+        """The factor by which this VM multiplies its timeouts: 1 when it is healthy."""
         return self._roster.health.factor
 
     def take_view(self, now: float) -> MemberView:
-        """Give the view, and note that it is known."""
+        """Return the view, and reset ``changed``."""
         self._roster.changed = False
         return self._roster.view(now)
 
     def own_update(self, now: float) -> MemberUpdate:
-        """Give what peers are told of this VM."""
-        return self._roster.own_news(now)
+        """Return the entry of this VM as it is sent to peers."""
+        return self._roster.own_update(now)
 
     def take_sends(self) -> list[Send]:
-        """Give the messages to send, and forget them."""
+        """Remove and return the messages to send."""
         return self._outbox.take()
 
     def set_load(self, load: float) -> None:
-        """Set the share of the own capacity in use, which rides on the next messages."""
+        """Set the share of the own capacity in use (0 to 1), which the next messages carry."""
         self._roster.own.load = min(max(load, 0.0), 1.0)
 
     def set_listed(self, listed: tuple[ListedVm, ...], now: float) -> None:
-        """Take the platform's list: VMs to contact, and lives that it says are leaving.
+        """Apply the platform's list: VMs to contact, and members that it marks as leaving.
 
-        The list lags and may be down, so it adds and marks, and never removes.
+        The list lags and may be unavailable, so no member is removed because of it.
         """
         self._listed = listed
         for vm in listed:
@@ -122,42 +125,42 @@
         self._flood(now)
 
     def leave(self, now: float) -> None:
-        """Tell everyone that this life takes no new work; there is no way back."""
+        """Announce that this incarnation takes no new work; this cannot be undone."""
         self._roster.mark_leaving(self._roster.own)
         self._flood(now)
 
     def depart(self, now: float) -> None:
-        """Tell everyone that this life ends now, so that nobody has to find out."""
+        """Announce that this incarnation ends now, so that no peer has to detect it."""
         own = self._roster.own
         self._roster.mark_leaving(own)
         own.set_status(version=own.version, status=Status.DEAD, now=now)
         self._departed = True
-        self._gossip(Gossip(news=(own.news(now),)))
+        self._gossip(Gossip(news=(own.to_update(now),)))
 
     def tick(self, now: float, *, paused_s: float = 0.0) -> None:
-        """Let time pass; ``paused_s`` tells that this process stood still before."""
+        """Advance to ``now``; ``paused_s`` is how long this process was paused before."""
         if self.silent:
             return
         self._roster.own.load_at = now
         if paused_s > 0:
-            self._distrust(now)
+            self._restart_timers(now)
         self._prober.tick(now)
         self._roster.end_suspicions(now)
-        self._contact_strangers(now)
+        self._contact_unreached(now)
         self._flood(now)
 
     def receive(self, message: MembershipMessage, now: float) -> None:
-        """Take a message from a peer."""
+        """Handle a message from a peer."""
         if self.silent:
             return
-        self._roster.merge_news(_news_of(message), now)
+        self._roster.merge_updates(_updates_in(message), now)
         if isinstance(message, Ping | Ack | Gossip):
             self._roster.merge_verdicts(message.verdicts, now)
         if not self.silent:
-            self._act_on(message, now)
+            self._dispatch(message, now)
         self._flood(now)
 
-    def _act_on(self, message: MembershipMessage, now: float) -> None:
+    def _dispatch(self, message: MembershipMessage, now: float) -> None:
         match message:
             case Ping():
                 self._prober.on_ping(message, now)
@@ -174,61 +177,63 @@
             case Gossip() | SyncReply():
                 return
 
-    def _distrust(self, now: float) -> None:
-        """Trust nothing that ran out while this process stood still.
+    def _restart_timers(self, now: float) -> None:
+        """Discard the probes and restart the suspicions whose time passed during a pause.
 
-        Guards against a VM that wakes and declares everybody dead at once, since
-        all its timeouts have passed: probes are forgotten, suspicions start again.
+        Guards against a VM that resumes and declares all others dead at once, since all its
+        timeouts have passed while it could not receive their answers.
         """
-        self._roster.health.note_pause()
-        self._prober.forget()
+        self._roster.health.record_pause()
+        self._prober.discard_outstanding()
         self._roster.restart_suspicions(now)
 
-    def _contact_strangers(self, now: float) -> None:
-        """Ping VMs that are not known to live: seeds, listed ones, and the dead.
+    def _contact_unreached(self, now: float) -> None:
+        """Ping VMs that are not known to be alive: seeds, listed VMs and dead members.
 
-        Without the dead the two sides of a healed cut would never talk again, each
-        taking the other for dead.
+        Dead members are included because after a network partition each side takes the other
+        for dead: without these pings they would stay apart once it heals.
         """
-        if now < self._contact_due:
+        if now < self._next_contact_at:
             return
         alone = not self._roster.others
         wait_s = self._settings.period_s if alone else self._settings.contact_interval_s
-        self._contact_due = now + wait_s * self._random.uniform(0.5, 1.5)
-        self._roster.table.forget_old_dead(now)
-        strangers = self._strangers()
-        count = min(len(strangers), CONTACTS_AT_ONCE if alone else 1)
-        for address in self._random.sample(strangers, count):
+        self._next_contact_at = now + wait_s * self._random.uniform(0.5, 1.5)
+        self._roster.table.expire_dead(now)
+        unreached = self._unreached_addresses()
+        count = min(len(unreached), CONTACTS_AT_ONCE if alone else 1)
+        for address in self._random.sample(unreached, count):
             self._contact(address, now)
 
-    def _strangers(self) -> list[Address]:
+    def _unreached_addresses(self) -> list[Address]:
+        """Return the known addresses at which no member is live, in a fixed order."""
         dead = {record.peers for record in self._roster.table if not record.live}
         listed = {vm.peers for vm in self._listed}
         live = {record.peers for record in self._roster.table if record.live}
         return sorted({*self._seeds, *listed, *dead} - live, key=str)
 
     def _contact(self, address: Address, now: float) -> None:
-        told = [r for r in self._roster.table if not r.live and r.peers == address]
+        """Ping an address, with the dead entries known for it so that a live VM refutes them."""
+        dead = [r for r in self._roster.table if not r.live and r.peers == address]
         ping = Ping(
             sequence=0,
-            own=self._roster.own_news(now),
+            own=self._roster.own_update(now),
             digest=self._roster.digest,
-            news=tuple(record.news(now) for record in told),
+            news=tuple(record.to_update(now) for record in dead),
         )
         self._outbox.send(address, ping)
 
     def _sync_if_different(self, peer: MemberUpdate, digest: int, now: float) -> None:
-        """Ask for what a peer knows otherwise, at a bounded rate."""
-        if digest == self._roster.digest or now < self._sync_due:
+        """Request the members in which a peer's view differs, once per ``SYNC_INTERVAL_S``."""
+        if digest == self._roster.digest or now < self._next_sync_at:
             return
-        self._sync_due = now + SYNC_INTERVAL_S
-        request = SyncRequest(own=self._roster.own_news(now), buckets=self._roster.table.buckets)
+        self._next_sync_at = now + SYNC_INTERVAL_S
+        request = SyncRequest(own=self._roster.own_update(now), buckets=self._roster.table.buckets)
         self._outbox.send(peer.peer_address, request, expected=peer.incarnation)
 
     def _reply_to_sync(self, request: SyncRequest, now: float) -> None:
-        news = [r.news(now) for r in self._roster.table.differing(request.buckets)]
-        for start in range(0, len(news), SYNC_NEWS):
-            reply = SyncReply(news=tuple(news[start : start + SYNC_NEWS]))
+        updates = [r.to_update(now) for r in self._roster.table.differing(request.buckets)]
+        for start in range(0, len(updates), MAX_SYNC_UPDATES):
+            reply = SyncReply(news=tuple(updates[start : start + MAX_SYNC_UPDATES]))
             self._outbox.send(request.own.peer_address, reply, expected=request.own.incarnation)
 
     def _flood(self, now: float) -> None:
@@ -241,7 +246,8 @@
             self._outbox.send(neighbour.peers, gossip, expected=neighbour.incarnation)
 
 
-def _news_of(message: MembershipMessage) -> Iterable[MemberUpdate]:
+def _updates_in(message: MembershipMessage) -> Iterable[MemberUpdate]:
+    """Return the entries of members that a message carries."""
     match message:
         case Ping() | Ack():
             return (message.own, *message.news)
--- a/lagoonlever/decisions/membership/table.py
+++ b/lagoonlever/decisions/membership/table.py
@@ -1,8 +1,8 @@
-"""The members that a VM knows, and the rule by which news of them is merged.
+"""The members that a VM knows, and the rule by which what peers report of them is merged.
 
-The newest life of a name wins; within a life ``leaving`` never goes back, and
-the highest (version, status) wins, where only the member raises its version. So
-late, repeated and reordered news does no harm.
+The newest incarnation of a name wins. Within an incarnation ``leaving`` is never cleared, and
+the highest (version, status) wins, where only the member itself raises its version. So late,
+repeated and reordered messages do no harm.
 """
 
 from __future__ import annotations
@@ -18,15 +18,17 @@
 from lagoonlever.peers.messages_membership import MemberUpdate, Status, Verdict
 
 BUCKETS = 16
+"""The number of groups of names whose digests two VMs compare to find where their views differ."""
 MAX_LOAD_AGE_S = 120
-"""A load older than this says nothing."""
+"""A load that was reported longer ago counts as not known."""
 TOMBSTONE_S = 3600.0
-"""Seconds for which a dead life is remembered, far longer than its news can travel."""
+"""How long a dead incarnation is kept. It must be far longer than a message about it can be
+delayed, since a late message would otherwise add it again."""
 
 
 @attrs.define(kw_only=True, eq=False)
 class MemberRecord:
-    """One known life of a member; times in seconds of the own monotonic clock."""
+    """One known incarnation of a member; times in seconds of the own monotonic clock."""
 
     incarnation: Incarnation
     data_center: str
@@ -37,19 +39,21 @@
     leaving: bool = False
     load: float = 0.0
     load_at: float = float("-inf")
+    """When the member reported its load."""
     known_since: float = 0.0
     status_since: float = 0.0
     suspect_until: float | None = None
+    """When the running suspicion ends in death; None if none runs."""
     _digest: int | None = attrs.field(default=None, init=False)
 
     @property
     def live(self) -> bool:
-        """Whether the member is worth a probe."""
+        """Whether the member is not dead, and therefore probed."""
         return self.status is not Status.DEAD
 
     @property
     def state(self) -> MemberState:
-        """The state as the view tells it; leaving hides a suspicion but not a death."""
+        """The state in the view: leaving takes precedence over suspected, but not over dead."""
         if self.status is Status.DEAD:
             return MemberState.DEAD
         if self.leaving:
@@ -58,12 +62,15 @@
 
     @property
     def bucket(self) -> int:
-        """The bucket of the member's name, in which digests are compared."""
+        """The bucket of the member's name (0 to ``BUCKETS`` - 1)."""
         return xxhash.xxh32_intdigest(self.incarnation.name.encode()) % BUCKETS
 
     @property
     def digest(self) -> int:
-        """A digest of what two VMs should agree on; a passing suspicion is not part of it."""
+        """A digest of what two VMs should agree on.
+
+        The status is left out, since a suspicion is temporary and differs between VMs.
+        """
         if self._digest is None:
             text = f"{self.incarnation}|{self.version}|{self.leaving}"
             self._digest = xxhash.xxh32_intdigest(text.encode())
@@ -71,7 +78,7 @@
 
     @property
     def verdict(self) -> Verdict:
-        """What peers that know the life are told of it."""
+        """The short form that is sent to peers that know the incarnation."""
         return Verdict(
             name=self.incarnation.name,
             nonce=self.incarnation.nonce,
@@ -80,23 +87,23 @@
             leaving=self.leaving,
         )
 
-    def load_known(self, now: float) -> bool:
-        """Tell whether the load was reported lately."""
+    def is_load_known(self, now: float) -> bool:
+        """Check whether the load was reported within the last ``MAX_LOAD_AGE_S``."""
         return now - self.load_at <= MAX_LOAD_AGE_S
 
-    def member(self, now: float, *, usual_load: float) -> Member:
-        """Give the entry of the view; a load that is not known counts as the usual one."""
+    def member(self, now: float, *, default_load: float) -> Member:
+        """Return the entry of the view, with ``default_load`` if the load is not known."""
         return Member(
             incarnation=self.incarnation,
             data_center=self.data_center,
             http=self.http,
             peers=self.peers,
             state=self.state,
-            load=self.load if self.load_known(now) else usual_load,
+            load=self.load if self.is_load_known(now) else default_load,
         )
 
-    def news(self, now: float) -> MemberUpdate:
-        """Give what peers are told."""
+    def to_update(self, now: float) -> MemberUpdate:
+        """Return the full entry as it is sent to peers."""
         return MemberUpdate(
             name=self.incarnation.name,
             started_ms=self.incarnation.started_ms,
@@ -111,25 +118,28 @@
             load_age_s=round(min(now - self.load_at, MAX_LOAD_AGE_S + 1)),
         )
 
-    def merge(self, news: MemberUpdate, now: float) -> bool:
-        """Join news of the same life; tells whether peers should hear of it."""
-        self._merge_load(news, now)
-        return self.merge_verdict(news.verdict, now)
+    def merge(self, update: MemberUpdate, now: float) -> bool:
+        """Merge an entry of the same incarnation; return whether peers must be told a change.
+
+        A load alone is not such a change.
+        """
+        self._merge_load(update, now)
+        return self.merge_verdict(update.verdict, now)
 
     def merge_verdict(self, verdict: Verdict, now: float) -> bool:
-        """Join a verdict on the same life; tells whether peers should hear of it."""
+        """Merge a verdict on the same incarnation; return whether peers must be told a change."""
         changed = False
         if verdict.leaving and not self.leaving:
             self.set_leaving()
             changed = True
-        status = self._status_to_take(verdict)
+        status = self._status_to_merge(verdict)
         if (verdict.version, status) > (self.version, self.status):
             self.set_status(version=verdict.version, status=status, now=now)
             changed = True
         return changed
 
     def set_status(self, *, version: int, status: Status, now: float) -> None:
-        """Set what is believed of the member; ends a running suspicion."""
+        """Set the version and the status, and end a running suspicion."""
         self.version = version
         self.status = status
         self.status_since = now
@@ -137,52 +147,52 @@
         self._digest = None
 
     def set_leaving(self) -> None:
-        """Mark the life as leaving, which never goes back."""
+        """Mark the incarnation as leaving; this cannot be undone."""
         self.leaving = True
         self._digest = None
 
     def set_version(self, version: int) -> None:
-        """Raise the version, which only the member itself does."""
+        """Set the version, which only the member itself raises."""
         self.version = version
         self._digest = None
 
-    def _status_to_take(self, verdict: Verdict) -> Status:
-        """Take a death that comes without a suspicion before it as a suspicion.
+    def _status_to_merge(self, verdict: Verdict) -> Status:
+        """Return the status of a verdict, but a suspicion for the death of an alive member.
 
-        Guards against the false deaths of a cut: when it heals, each side hears
-        that its own members are dead, and would drop them all at once. So they
-        get the time to answer; a member that left has nothing to answer.
+        Guards against false deaths after a network partition: when it heals, each side is told
+        that its own members are dead, and would drop them all at once. As suspects they have
+        time to refute it. A member that left has nothing to refute, so its death is final.
         """
-        unheralded = verdict.status is Status.DEAD and self.status is Status.ALIVE
-        return Status.SUSPECT if unheralded and not verdict.leaving else verdict.status
+        without_suspicion = verdict.status is Status.DEAD and self.status is Status.ALIVE
+        return Status.SUSPECT if without_suspicion and not verdict.leaving else verdict.status
 
-    def _merge_load(self, news: MemberUpdate, now: float) -> None:
-        reported_at = now - news.load_age_s
-        if news.load_age_s <= MAX_LOAD_AGE_S and reported_at > self.load_at:
-            self.load = news.load_percent / 100
+    def _merge_load(self, update: MemberUpdate, now: float) -> None:
+        reported_at = now - update.load_age_s
+        if update.load_age_s <= MAX_LOAD_AGE_S and reported_at > self.load_at:
+            self.load = update.load_percent / 100
             self.load_at = reported_at
 
 
-def record_of(news: MemberUpdate, now: float) -> MemberRecord:
-    """Give the record of a life heard of for the first time."""
+def new_record(update: MemberUpdate, now: float) -> MemberRecord:
+    """Return the record of an incarnation that was not known before."""
     record = MemberRecord(
-        incarnation=news.incarnation,
-        data_center=news.data_center,
-        http=news.http_address,
-        peers=news.peer_address,
-        status=news.status,
-        version=news.version,
-        leaving=news.leaving,
+        incarnation=update.incarnation,
+        data_center=update.data_center,
+        http=update.http_address,
+        peers=update.peer_address,
+        status=update.status,
+        version=update.version,
+        leaving=update.leaving,
         known_since=now,
         status_since=now,
     )
-    record.merge(news, now)
+    record.merge(update, now)
     return record
 
 
 @attrs.define(kw_only=True)
 class MemberTable:
-    """The newest known life of each name."""
+    """The newest known incarnation of each name."""
 
     _records: dict[str, MemberRecord] = attrs.field(factory=dict)
 
@@ -200,7 +210,7 @@
 
     @property
     def buckets(self) -> tuple[int, ...]:
-        """The digests of the members that are not dead, by the bucket of their names."""
+        """The digest of each bucket of names, over the members that are not dead."""
         totals = [0] * BUCKETS
         for record in self._records.values():
             if record.live:
@@ -208,27 +218,30 @@
         return tuple(totals)
 
     def find_by_name(self, name: str) -> MemberRecord | None:
-        """Give the newest known life of a name."""
+        """Return the newest known incarnation of a name, or None."""
         return self._records.get(name)
 
     def find(self, incarnation: Incarnation) -> MemberRecord | None:
-        """Give the record of exactly this life."""
+        """Return the record of exactly this incarnation, or None."""
         record = self._records.get(incarnation.name)
         return record if record is not None and record.incarnation == incarnation else None
 
     def put(self, record: MemberRecord) -> None:
-        """Set the newest life of a name."""
+        """Add a record, in the place of a former incarnation of its name."""
         self._records[record.incarnation.name] = record
 
     def differing(self, buckets: tuple[int, ...]) -> list[MemberRecord]:
-        """Give the members, dead ones too, of the buckets whose digests differ."""
+        """Return the members, also dead ones, of the buckets whose digests differ from a peer's.
+
+        ``buckets`` are the peer's digests; if their number is not ``BUCKETS``, all members differ.
+        """
         own = self.buckets
         if len(buckets) != BUCKETS:
             return list(self)
         return [r for r in self if own[r.bucket] != buckets[r.bucket]]
 
-    def forget_old_dead(self, now: float) -> None:
-        """Drop the lives that have been dead for long, so that memory stays bounded."""
+    def expire_dead(self, now: float) -> None:
+        """Remove members that have been dead for ``TOMBSTONE_S``, so that memory is bounded."""
         old = [r for r in self if not r.live and now - r.status_since > TOMBSTONE_S]
         for record in old:
             del self._records[record.incarnation.name]
--- a/lagoonlever/tests/listed_leaving_tests.py
+++ b/lagoonlever/tests/listed_leaving_tests.py
@@ -1,4 +1,4 @@
-"""An entry VM that the platform takes away stops as if it had been told to."""
+"""An entry VM that the platform lists as leaving performs its own planned stop."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 def test_a_vm_that_is_listed_as_leaving_ends_by_itself() -> None:
-    """Callers' streams are cut when the platform removes a VM that it had announced to.
+    """Callers' streams break when the platform removes a VM that it had listed as leaving.
 
-    The list said for a minute that the VM leaves. It sent callers elsewhere, but
-    never began its own planned stop, and was still serving when it was taken away.
+    The list named the VM as leaving for a minute. The VM sent callers to others, but never
+    began its own planned stop, so it was still serving streams when it was removed.
     """
 
     def short_lifetime(settings: VmSettings) -> VmSettings:
--- a/lagoonlever/tests/membership_changes_tests.py
+++ b/lagoonlever/tests/membership_changes_tests.py
@@ -1,4 +1,4 @@
-"""Which changes of the member view are told to operators, and as what."""
+"""Which changes of the member view are reported to operators, and as which kind."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 OWN = Incarnation(name="e1", started_ms=1, nonce=1)
 
 
-def _view(state: MemberState | None, *, life: int = 1) -> MemberView:
+def _view(state: MemberState | None, *, started_ms: int = 1) -> MemberView:
     address = Address(host="10.0.0.1", port=1)
     members = (
         Member(
-            incarnation=Incarnation(name="e2", started_ms=life, nonce=1),
+            incarnation=Incarnation(name="e2", started_ms=started_ms, nonce=1),
             data_center="dc-a",
             http=address,
             peers=address,
@@ -37,23 +37,23 @@
         (MemberState.ALIVE, MemberState.ALIVE, []),
     ],
 )
-def test_each_change_of_state_is_told_once(
+def test_each_change_of_state_is_reported_once(
     before: MemberState | None, after: MemberState, kinds: list[ChangeKind]
 ) -> None:
     changes = changes_between(_view(before), _view(after))
     assert [change.kind for change in changes] == kinds
 
 
-def test_the_end_of_a_planned_stop_is_no_death() -> None:
-    """A VM is stopped as planned, and every other VM warns that it died.
+def test_the_end_of_a_planned_stop_is_not_reported_as_a_death() -> None:
+    """A VM stops as planned, and every other VM logs a warning that it died.
 
-    It leaves, and at its end the others hold it for dead as they do after any
-    death; an operator would be alarmed by each replacement.
+    It leaves, and after its end the others take it for dead as after a crash. Operators would
+    be alarmed by each planned replacement.
     """
     changes = changes_between(_view(MemberState.LEAVING), _view(MemberState.DEAD))
     assert [change.kind for change in changes] == [ChangeKind.LEFT]
 
 
-def test_a_new_life_is_told_as_one() -> None:
-    changes = changes_between(_view(MemberState.DEAD), _view(MemberState.ALIVE, life=2))
+def test_a_new_incarnation_is_reported_as_a_replacement() -> None:
+    changes = changes_between(_view(MemberState.DEAD), _view(MemberState.ALIVE, started_ms=2))
     assert [change.kind for change in changes] == [ChangeKind.REPLACED]
--- a/lagoonlever/tests/membership_tests.py
+++ b/lagoonlever/tests/membership_tests.py
@@ -1,4 +1,7 @@
-"""Tests of the membership protocol: a state machine of failures, and each guard turned off."""
+"""The membership protocol under failures, with each guard also turned off.
+
+Where a test takes ``guarded``, it also shows that the failure occurs without the guard.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +21,7 @@
 
 NODES = 6
 SETTLE_S = 120
-LOOK_S = 0.1
+CHECK_INTERVAL_S = 0.1
 GONE_STATES = (MemberState.LEAVING, MemberState.DEAD)
 
 
@@ -40,28 +43,32 @@
 
 @pytest.fixture
 def deaths(monkeypatch: pytest.MonkeyPatch) -> list[str]:
-    """Give the list that names each member as any VM takes it for dead."""
+    """Return a list to which a name is added whenever any VM marks that member as dead."""
     names: list[str] = []
     set_status = MemberRecord.set_status
 
-    def note(record: MemberRecord, *, version: int, status: Status, now: float) -> None:
+    def record_death(record: MemberRecord, *, version: int, status: Status, now: float) -> None:
         if status is Status.DEAD:
             names.append(record.incarnation.name)
         set_status(record, version=version, status=status, now=now)
 
-    monkeypatch.setattr(MemberRecord, "set_status", note)
+    monkeypatch.setattr(MemberRecord, "set_status", record_death)
     return names
 
 
 class Failures(RuleBasedStateMachine):
-    """Anything fails, in any order; what a VM believes must stay within the promises."""
+    """Any failures in any order, during which the guarantees of the member views must hold.
+
+    A leaving member never returns to work, a replaced incarnation never comes back, and once the
+    failures are over all views agree with the running VMs.
+    """
 
     def __init__(self) -> None:
         super().__init__()
         self.network = Network(random=Random(0))
         self.leaving: set[Incarnation] = set()
-        self.seen_leaving: dict[tuple[Incarnation, Incarnation], bool] = {}
-        self.newest: dict[tuple[Incarnation, str], Incarnation] = {}
+        self.was_leaving: dict[tuple[Incarnation, Incarnation], bool] = {}
+        self.newest_by_name: dict[tuple[Incarnation, str], Incarnation] = {}
 
     @initialize(seed=st.integers(0, 2**32), late_s=st.sampled_from([0.0, 8.0]))
     def begin(self, seed: int, late_s: float) -> None:
@@ -137,38 +144,38 @@
 
     @rule(duration_s=st.sampled_from([0.3, 2.0, 10.0, 40.0]))
     def pass_time(self, duration_s: float) -> None:
-        for _ in range(round(duration_s / LOOK_S)):
-            self.network.run(LOOK_S)
-            self.leaving_and_replaced_lives_never_come_back()
+        for _ in range(round(duration_s / CHECK_INTERVAL_S)):
+            self.network.run(CHECK_INTERVAL_S)
+            self.leaving_and_replaced_incarnations_never_come_back()
 
     @invariant()
-    def leaving_and_replaced_lives_never_come_back(self) -> None:
+    def leaving_and_replaced_incarnations_never_come_back(self) -> None:
         for node in self.network.nodes.values():
             for member in node.protocol.take_view(self.network.now).members:
                 key = (node.incarnation, member.incarnation)
-                gone = member.state is MemberState.LEAVING
-                assert member.state in GONE_STATES or not self.seen_leaving.get(key, False)
-                self.seen_leaving[key] = gone or self.seen_leaving.get(key, False)
+                leaving = member.state is MemberState.LEAVING
+                assert member.state in GONE_STATES or not self.was_leaving.get(key, False)
+                self.was_leaving[key] = leaving or self.was_leaving.get(key, False)
                 name_key = (node.incarnation, member.name)
-                newest = self.newest.get(name_key, member.incarnation)
+                newest = self.newest_by_name.get(name_key, member.incarnation)
                 assert member.incarnation >= newest
-                self.newest[name_key] = member.incarnation
+                self.newest_by_name[name_key] = member.incarnation
 
     @precondition(lambda self: self.network.nodes)
     @rule()
     def settle(self) -> None:
-        """Once all is well again, every VM sees exactly the lives that there are."""
+        """Check that, without failures, every VM sees exactly the incarnations that run."""
         self.network.heal()
         self.disturb(0.0, 0.0, 0.0)
         self.network.run(SETTLE_S)
-        lives = {node.incarnation for node in self.network.nodes.values()}
+        running = {node.incarnation for node in self.network.nodes.values()}
         for node in self.network.nodes.values():
             view = node.protocol.take_view(self.network.now)
             seen = {m.incarnation for m in view.members if m.state is not MemberState.DEAD}
-            assert seen == lives
+            assert seen == running
             assert MemberState.SUSPECT not in {m.state for m in view.members}
             for member in view.members:
-                if member.incarnation in self.leaving & lives:
+                if member.incarnation in self.leaving & running:
                     assert member.state is MemberState.LEAVING
 
     def teardown(self) -> None:
@@ -186,17 +193,17 @@
 
 
 @pytest.mark.parametrize("guarded", [True, False])
-def test_two_sides_of_a_healed_cut_find_each_other(
+def test_two_sides_of_a_healed_partition_find_each_other(
     guarded: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Half of the VMs stay unused after the regions' link is back.
+    """Half of the VMs stay unused after a network partition has healed.
 
-    The cut lasts until each side takes the other for dead. Nobody probes the
-    dead, so when the cut heals no side ever speaks to the other.
+    The partition lasts until each side takes the other for dead. Dead members are not probed,
+    so without contacts to them neither side would ever send a message to the other.
     """
     network = fleet(6)
     if not guarded:
-        monkeypatch.setattr(MembershipProtocol, "_strangers", lambda _: [])
+        monkeypatch.setattr(MembershipProtocol, "_unreached_addresses", lambda _: [])
     network.cut_off({0, 1, 2})
     network.run(60)
     assert states(network, 0)[node_name(5)] is MemberState.DEAD
@@ -209,16 +216,16 @@
 
 
 @pytest.mark.parametrize("guarded", [True, False])
-def test_a_healed_cut_makes_nobody_dead(
+def test_a_healed_partition_marks_no_member_as_dead(
     guarded: bool, monkeypatch: pytest.MonkeyPatch, deaths: list[str]
 ) -> None:
-    """The end of a cut costs more VMs than the cut did.
+    """The end of a network partition takes out more VMs than the partition did.
 
-    Each side hears from the other that its own members are dead. Taken over at
-    once, the verdicts empty the member list, and callers are turned away.
+    Each side is told by the other that its own members are dead. If these verdicts are adopted
+    at once, the member list becomes empty and callers are rejected.
     """
     if not guarded:
-        monkeypatch.setattr(MemberRecord, "_status_to_take", lambda _, news: news.status)
+        monkeypatch.setattr(MemberRecord, "_status_to_merge", lambda _, verdict: verdict.status)
     network = fleet(9)
     network.cut_off({0, 1, 2, 3})
     network.run(60)
@@ -229,16 +236,16 @@
 
 
 @pytest.mark.parametrize("guarded", [True, False])
-def test_a_paused_vm_wakes_without_declaring_others_dead(
+def test_a_paused_vm_resumes_without_declaring_others_dead(
     guarded: bool, monkeypatch: pytest.MonkeyPatch, deaths: list[str]
 ) -> None:
-    """A VM that was frozen for a minute tells the world that everybody died.
+    """A VM that was paused for a minute declares a live member dead to the whole fleet.
 
-    It suspected a member when it was frozen. On waking the suspicion's time is
-    over, and the member's answer was lost meanwhile: it floods a false death.
+    It suspected a member when it was paused. When it resumes, the time of the suspicion has
+    passed, and the member's answer was lost meanwhile, so it floods a false death.
     """
     if not guarded:
-        monkeypatch.setattr(MembershipProtocol, "_distrust", lambda _self, _now: None)
+        monkeypatch.setattr(MembershipProtocol, "_restart_timers", lambda _self, _now: None)
     network = fleet(5)
     network.cut_off({0})
     for _ in range(100):
@@ -251,11 +258,11 @@
     assert (set(deaths) == {node_name(0)}) is guarded
 
 
-def test_a_thawed_twin_learns_that_it_was_replaced() -> None:
+def test_a_replaced_process_that_resumes_learns_that_it_was_replaced() -> None:
     """Two processes act under one VM's name after a replacement.
 
-    A VM freezes, is replaced by a new life of the same name, and thaws. It must
-    learn that it is over and fall silent; the new life must not be disturbed.
+    A VM is paused, is replaced by a new incarnation of the same name, and resumes. It must learn
+    that it was replaced and send nothing more; the new incarnation must not be affected.
     """
     network = fleet(4)
     former = network.nodes[3]
@@ -264,29 +271,29 @@
     replacement = network.start(3)
     network.run(20)
 
-    late = former.protocol
-    late.tick(network.now, paused_s=30)
+    resumed = former.protocol
+    resumed.tick(network.now, paused_s=30)
     for _ in range(30):
         network.run(0.5)
-        late.tick(network.now)
-        for send in late.take_sends():
+        resumed.tick(network.now)
+        for send in resumed.take_sends():
             target = next(n for n in network.nodes.values() if n.address == send.to)
             target.protocol.receive(send.message, network.now)
             for answer in target.protocol.take_sends():
-                late.receive(answer.message, network.now)
-    assert late.silent
-    assert late.take_view(network.now).superseded
+                resumed.receive(answer.message, network.now)
+    assert resumed.silent
+    assert resumed.take_view(network.now).superseded
     for index in range(4):
         view = network.nodes[index].protocol.take_view(network.now)
         assert view.find(replacement.incarnation) is not None
         assert view.is_replaced(former.incarnation)
 
 
-def test_a_listing_marks_only_a_life_that_is_old_enough() -> None:
-    """A new VM gets no work because the list still tells of its predecessor.
+def test_a_listing_marks_only_an_incarnation_that_is_old_enough() -> None:
+    """A new VM gets no work because the platform's list still describes its predecessor.
 
-    The list lags: it names the former life at this address as leaving. Leaving
-    has no way back, so a mark on the new life would never be lifted.
+    The list lags: it lists the former incarnation at this address as leaving. Leaving cannot be
+    undone, so a mark on the new incarnation would stay for ever.
     """
     network = fleet(3)
     listed = ListedVm(name=node_name(2), peers=node_address(2), leaving=True)
@@ -301,7 +308,7 @@
         assert states(network, index)[node_name(2)] is MemberState.LEAVING
 
 
-def test_leaving_is_known_everywhere_within_three_seconds_despite_loss() -> None:
+def test_leaving_reaches_all_vms_within_three_seconds_despite_loss() -> None:
     network = fleet(27)
     network.loss = 0.1
     network.nodes[5].protocol.leave(network.now)
@@ -309,11 +316,11 @@
     assert {states(network, i)[node_name(5)] for i in range(27)} == {MemberState.LEAVING}
 
 
-def test_late_news_brings_nothing_back() -> None:
-    """A VM that left, or a life that was replaced, gets new work again.
+def test_a_late_update_reverts_nothing() -> None:
+    """A VM that left, or an incarnation that was replaced, gets new work again.
 
-    A message that was under way for long tells of the time before. It reaches a
-    VM that already knows better.
+    A message that was delayed describes an earlier state. It reaches a VM that has the newer
+    state already.
     """
     network = fleet(3)
     observer, other = network.nodes[0].protocol, network.nodes[2]
@@ -332,7 +339,7 @@
     assert view.is_replaced(other.incarnation)
 
 
-def test_a_member_whose_load_is_not_known_counts_as_the_usual_one() -> None:
+def test_an_unknown_load_counts_as_the_mean_of_the_known_loads() -> None:
     network = fleet(4)
     loads = [0.2, 0.4, 0.6, 0.8]
     for index, load in enumerate(loads):
@@ -347,12 +354,12 @@
     assert {round(member.load, 2) for member in view.members} == {0.2}
 
 
-def test_a_vm_that_not_even_helpers_answer_doubts_itself() -> None:
-    """A VM with a broken link takes everybody for dead as fast as if they were.
+def test_a_vm_that_no_helper_answers_raises_its_timeouts() -> None:
+    """A VM with a broken link declares all others dead as fast as if they were.
 
-    Its probes fail, and so do those that it asks helpers for. That no helper
-    says anything points at its own link; another VM, whose helpers say that a
-    member is silent, has no cause to doubt itself.
+    Its probes fail, and so do those that it asks helpers for. That no helper answers suggests
+    that its own link is at fault. A VM whose helpers answer that a member is silent has no such
+    reason to raise its timeouts.
     """
     network = fleet(6)
     network.kill(5)
--- a/lagoonlever/tests/fellows_tests.py
+++ b/lagoonlever/tests/peer_table_tests.py
@@ -1,4 +1,4 @@
-"""Which gateways callers are sent to."""
+"""Which gateways callers are sent to, and which peers' states hubs repeat."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 from lagoonlever.decisions.fleet.peer_table import (
     DISCOVERY_S,
-    FLEET_AT_START,
-    FORGET_S,
-    NEWS_ROUNDS,
-    REPEATED_MOST,
+    FORGET_AFTER_S,
+    INITIAL_FLEET_SIZE,
+    MAX_REPEATED_STATES,
+    REPEAT_ROUNDS,
     SILENCE_TIMEOUT_S,
     PeerState,
     PeerTable,
@@ -24,14 +24,14 @@
 OWN = Incarnation(name="vm-0", started_ms=1, nonce=0)
 
 
-def state(name: str = "vm-1", *, started_ms: int = 1, **more: object) -> PeerState:
-    made = PeerState(
+def state(name: str = "vm-1", *, started_ms: int = 1, **changes: object) -> PeerState:
+    default = PeerState(
         life=Incarnation(name=name, started_ms=started_ms, nonce=7),
         data_center="a",
         callers=Address(host="10.0.0.1", port=80),
         bus=Address(host="10.0.0.1", port=81),
     )
-    return attrs.evolve(made, **more)
+    return attrs.evolve(default, **changes)
 
 
 def names(table: PeerTable, now: float) -> list[str]:
@@ -47,22 +47,22 @@
     assert names(table, 5.1) == ["vm-1"]
 
 
-def test_a_registered_vm_that_says_nothing_is_left_out() -> None:
-    """A VM lost power; its entry in the register outlives it by the life of a lease."""
+def test_a_registered_vm_that_is_never_heard_is_left_out() -> None:
+    """A VM loses power, and its entry in the register remains until the lease expires."""
     table = PeerTable(own=OWN)
     table.record_registration(state(), 0.0)
     assert names(table, 0.1) == ["vm-1"]
     assert names(table, SILENCE_TIMEOUT_S + 0.1) == []
 
 
-def test_a_leaving_vm_is_left_out_at_its_word() -> None:
+def test_a_vm_that_announces_that_it_leaves_is_left_out() -> None:
     table = PeerTable(own=OWN)
     table.record_state(state(), 0.0)
     table.record_state(state(leaving=True), 0.1)
     assert names(table, 0.2) == []
 
 
-def test_a_new_life_replaces_the_former_one_and_not_the_other_way() -> None:
+def test_a_new_incarnation_replaces_the_former_one_and_not_the_other_way() -> None:
     table = PeerTable(own=OWN)
     table.record_state(state(started_ms=1), 0.0)
     assert table.record_state(state(started_ms=2), 0.1)
@@ -78,18 +78,18 @@
     assert table.states == ()
 
 
-def test_a_vm_that_was_silent_for_long_is_forgotten() -> None:
+def test_a_vm_that_was_silent_for_long_is_removed() -> None:
     table = PeerTable(own=OWN)
     table.record_state(state(), 0.0)
-    table.expire(FORGET_S + 1.0)
+    table.expire(FORGET_AFTER_S + 1.0)
     assert table.states == ()
 
 
-def test_a_vm_whose_clock_was_set_back_is_believed_once_its_former_life_is_silent() -> None:
-    """A VM's clock jumps back by seconds, and the VM is killed and started again.
+def test_a_vm_whose_clock_was_set_back_is_accepted_once_its_former_incarnation_is_silent() -> None:
+    """A VM's wall clock is set back by seconds, and the VM is killed and started again.
 
-    By the time of day its new life began before the former one. Ignored for as long as the
-    former one was remembered, it got no callers and no changes for half a minute.
+    By the wall clock its new incarnation began before the former one. If it is ignored until
+    the former one is removed, it gets no callers and no changes for half a minute.
     """
     table = PeerTable(own=OWN)
     table.record_state(state(started_ms=5_000), 0.0)
@@ -100,28 +100,28 @@
     ]
 
 
-def test_a_vm_that_has_just_started_does_not_take_those_it_knows_for_all() -> None:
-    """69 VMs lose power and start together; each knows of nobody for some moments.
+def test_a_vm_that_has_just_started_does_not_take_its_known_peers_for_the_whole_fleet() -> None:
+    """69 VMs lose power and start together; each knows of no peer for some moments.
 
-    Each would take the whole fleet's slack of repeats for its own, and the application
-    runners would get 69 times what they may.
+    If each takes the whole fleet's budget of retries for its own, the application runners
+    get 69 times as many retries as they may.
     """
     table = PeerTable(own=OWN)
     table.started_at = 10.0
-    assert table.max_fleet_size(10.5) == FLEET_AT_START
+    assert table.max_fleet_size(10.5) == INITIAL_FLEET_SIZE
     table.record_state(state(), 10.6)
     assert table.max_fleet_size(10.0 + DISCOVERY_S) == 2
 
 
 @pytest.mark.parametrize("count", [1, 23, 100, 400])
 def test_a_digest_repeats_few_states_and_each_of_them_in_time(count: int) -> None:
-    """A hub of a hundred VMs repeated ten states three times a second, to each of them.
+    """A hub of a hundred VMs repeats ten states three times a second, to each of them.
 
-    Digests took 45 KB a second of each VM's link at 300 VMs. A state whose first word was
-    lost must be told again all the same.
+    At 300 VMs such digests took 45 KB a second of each VM's link. But every state must still be
+    repeated, since the announcement of a change may have been lost.
     """
-    rounds = max(NEWS_ROUNDS, math.ceil(count / REPEATED_MOST))
-    told = [
+    rounds = max(REPEAT_ROUNDS, math.ceil(count / MAX_REPEATED_STATES))
+    repeated = [
         [
             number
             for number in range(count)
@@ -129,5 +129,7 @@
         ]
         for each in range(rounds)
     ]
-    assert max(len(states) for states in told) <= max(REPEATED_MOST, math.ceil(count / rounds))
-    assert sorted(number for states in told for number in states) == list(range(count))
+    assert max(len(states) for states in repeated) <= max(
+        MAX_REPEATED_STATES, math.ceil(count / rounds)
+    )
+    assert sorted(number for states in repeated for number in states) == list(range(count))
