--- a/lagoonlever/bench/call_places_model.py
+++ b/lagoonlever/bench/call_places_model.py
@@ -15,7 +15,7 @@
 import attrs
 
 from lagoonlever.decisions.admission.call_line import CallEnd, CallLine, LineAsk
-from lagoonlever.decisions.admission.room import RefusedWithReturn, RoomAsk, RoomGiven
+from lagoonlever.decisions.admission.room import RefusedWithReturn, CapacityRequest, RoomGiven
 from lagoonlever.decisions.admission.runners import Runners
 from lagoonlever.decisions.targets.told_load import ToldLoad
 
@@ -150,7 +150,7 @@
         self.messages += 2
         if self._lost():
             return
-        room = RoomAsk(
+        room = CapacityRequest(
             request=str(call.number),
             service="apps",
             rank=0,
--- a/lagoonlever/decisions/admission/call_line.py
+++ b/lagoonlever/decisions/admission/call_line.py
@@ -17,7 +17,7 @@
 from lagoonlever.decisions.admission.line_runner import PLACE_KEPT_S, LineRunner, Place
 from lagoonlever.decisions.admission.room import (
     RefusedWithReturn,
-    RoomAsk,
+    CapacityRequest,
     RoomGiven,
     RoomOutcome,
     WaitInLine,
@@ -74,7 +74,7 @@
 class LineAsk:
     """One attempt that wants a place; its ``request`` is unique to the attempt."""
 
-    room: RoomAsk
+    room: CapacityRequest
     data_center: str = ""
     avoid: frozenset[str] = frozenset()
     """Runners that it has been at already."""
--- a/lagoonlever/decisions/admission/room.py
+++ b/lagoonlever/decisions/admission/room.py
@@ -10,7 +10,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class RoomAsk:
+class CapacityRequest:
     """What work needs to know of room; times are seconds of the asking VM's monotonic clock."""
 
     request: str
--- a/lagoonlever/decisions/admission/room_line.py
+++ b/lagoonlever/decisions/admission/room_line.py
@@ -19,7 +19,7 @@
 
 import attrs
 
-from lagoonlever.decisions.admission.room import RefusedWithReturn, RoomAsk
+from lagoonlever.decisions.admission.room import RefusedWithReturn, CapacityRequest
 
 RENEWED_WITHIN_S = 0.75
 """A prompt that its VM has not asked for again within this time is dropped."""
@@ -63,7 +63,7 @@
     """One prompt in line; times are seconds of this VM's monotonic clock."""
 
     place: PlaceInLine
-    ask: RoomAsk
+    ask: CapacityRequest
     asked: float
     heard: float
     """When its VM last asked for it."""
--- a/lagoonlever/gateway/room_desk.py
+++ b/lagoonlever/gateway/room_desk.py
@@ -12,7 +12,7 @@
 import logbook
 import trio
 
-from lagoonlever.decisions.admission.room import RefusedWithReturn, RoomAsk, WaitInLine
+from lagoonlever.decisions.admission.room import RefusedWithReturn, CapacityRequest, WaitInLine
 from lagoonlever.decisions.admission.room_line import (
     LEAST_RETURN_S,
     RENEWED_WITHIN_S,
@@ -153,7 +153,7 @@
         need, ask = asked.need, asked.ask
         reading_s = self._beliefs.book.paces.reading_s(ask.service, "", ask.prompt_tokens, now)
         making_s = self._beliefs.book.paces.usual_making_s(ask.service) or 0.0
-        room = RoomAsk(
+        room = CapacityRequest(
             request=ask.request,
             service=ask.service,
             rank=need.rank,
--- a/lagoonlever/peers/messages_calls.py
+++ b/lagoonlever/peers/messages_calls.py
@@ -11,7 +11,7 @@
 from lagoonlever.decisions.admission.call_line import CallEnd, LineAsk
 from lagoonlever.decisions.admission.room import (
     RefusedWithReturn,
-    RoomAsk,
+    CapacityRequest,
     RoomGiven,
     RoomOutcome,
     WaitInLine,
@@ -43,7 +43,7 @@
 
     def line_ask(self, request: str, now: float) -> LineAsk:
         """Give the same by this VM's clock."""
-        room = RoomAsk(
+        room = CapacityRequest(
             request=request,
             service=self.service,
             rank=self.rank,
--- a/lagoonlever/tests/call_line_machine_tests.py
+++ b/lagoonlever/tests/call_line_machine_tests.py
@@ -8,7 +8,7 @@
 from lagoonlever.decisions.admission.call_line import QUEUED, CallEnd, CallLine, LineAsk
 from lagoonlever.decisions.admission.room import (
     RefusedWithReturn,
-    RoomAsk,
+    CapacityRequest,
     RoomGiven,
     WaitInLine,
 )
@@ -43,7 +43,7 @@
     @rule(rank=st.integers(0, 2), repeatable=st.booleans(), aim_s=st.sampled_from([AIM_S, 0.1]))
     def ask(self, rank: int, repeatable: bool, aim_s: float) -> None:
         request = f"r-{len(self.asks)}"
-        room = RoomAsk(
+        room = CapacityRequest(
             request=request,
             service="apps",
             rank=rank,
--- a/lagoonlever/tests/call_line_tests.py
+++ b/lagoonlever/tests/call_line_tests.py
@@ -12,7 +12,7 @@
 )
 from lagoonlever.decisions.admission.room import (
     RefusedWithReturn,
-    RoomAsk,
+    CapacityRequest,
     RoomGiven,
     RoomOutcome,
     WaitInLine,
@@ -34,7 +34,7 @@
     data_center: str = "",
     avoid: frozenset[str] = frozenset(),
 ) -> LineAsk:
-    room = RoomAsk(
+    room = CapacityRequest(
         request=name,
         service="apps",
         rank=rank,
--- a/lagoonlever/tests/room_line_machine_tests.py
+++ b/lagoonlever/tests/room_line_machine_tests.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from lagoonlever.decisions.admission.room import RoomAsk
+from lagoonlever.decisions.admission.room import CapacityRequest
 from lagoonlever.decisions.admission.room_line import (
     OTHERS_FIRST,
     RENEWED_WITHIN_S,
@@ -131,7 +131,7 @@
     def _ask(self, asker: Asker, *, is_lost: bool) -> None:
         if is_lost:
             return
-        room = RoomAsk(
+        room = CapacityRequest(
             request=asker.request,
             service="engines",
             rank=asker.rank,
@@ -159,7 +159,7 @@
         self.numbers += 1
         place = PlaceInLine(vm="vm", number=self.numbers)
         aim_s = AIMS_S[rank]
-        ask = RoomAsk(
+        ask = CapacityRequest(
             request=f"r{self.numbers:05}",
             service="engines",
             rank=rank,
--- a/lagoonlever/tests/room_line_tests.py
+++ b/lagoonlever/tests/room_line_tests.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from lagoonlever.decisions.admission.room import RoomAsk
+from lagoonlever.decisions.admission.room import CapacityRequest
 from lagoonlever.decisions.admission.room_line import (
     OTHERS_FIRST,
     RENEWED_WITHIN_S,
@@ -29,7 +29,7 @@
 ) -> Waiting:
     came = at if arrived is None else arrived
     aim_s = URGENT_S if rank == 0 else PATIENT_S
-    ask = RoomAsk(
+    ask = CapacityRequest(
         request=f"r{number:03}",
         service="engines",
         rank=rank,
