--- a/lagoonlever/bench/call_places_model.py
+++ b/lagoonlever/bench/call_places_model.py
@@ -15,7 +15,7 @@
 import attrs
 
 from lagoonlever.decisions.admission.call_line import CallEnd, CallLine, LineAsk
-from lagoonlever.decisions.admission.room import RefusedWithReturn, CapacityRequest, RoomGiven
+from lagoonlever.decisions.admission.room import RefusedWithReturn, CapacityRequest, CapacityGranted
 from lagoonlever.decisions.admission.runners import Runners
 from lagoonlever.decisions.targets.told_load import ToldLoad
 
@@ -167,7 +167,7 @@
     def _tell(self, call: ModelCall, outcome: object) -> None:
         if self._lost() or call.runs or call.refused_at is not None:
             return
-        if isinstance(outcome, RoomGiven):
+        if isinstance(outcome, CapacityGranted):
             self._send(call, outcome.target)
         elif isinstance(outcome, RefusedWithReturn):
             call.refused_at = self._now
--- a/lagoonlever/decisions/admission/call_line.py
+++ b/lagoonlever/decisions/admission/call_line.py
@@ -18,7 +18,7 @@
 from lagoonlever.decisions.admission.room import (
     RefusedWithReturn,
     CapacityRequest,
-    RoomGiven,
+    CapacityGranted,
     RoomOutcome,
     WaitInLine,
 )
@@ -85,7 +85,7 @@
     """What has been decided of an attempt that waited."""
 
     request: str
-    outcome: RoomGiven | RefusedWithReturn
+    outcome: CapacityGranted | RefusedWithReturn
     waited_s: float
 
 
@@ -170,7 +170,7 @@
         request = ask.room.request
         given = self._given(request)
         if given is not None:
-            return RoomGiven(target=given.name)
+            return CapacityGranted(target=given.name)
         waiter = self._waiting.get(request)
         if waiter is not None:
             waiter.renewed = now
@@ -180,14 +180,14 @@
         self._asked += 1
         return self._join(_Waiter(ask=ask, number=self._asked, since=now, renewed=now), now)
 
-    def ask_second(self, ask: LineAsk, *, first: str, now: float) -> RoomGiven | WaitInLine:
+    def ask_second(self, ask: LineAsk, *, first: str, now: float) -> CapacityGranted | WaitInLine:
         """Give a place for a second attempt if the runner of the first is in a bad state.
 
         It never takes a slot that somebody waits for.
         """
         given = self._given(ask.room.request)
         if given is not None:
-            return RoomGiven(target=given.name)
+            return CapacityGranted(target=given.name)
         best = None if self._waiting or not self._in_trouble(first, now) else self._best(ask, now)
         if best is None:
             return WaitInLine(seconds=RENEW_S)
@@ -252,7 +252,7 @@
             self._news = [news for news in self._news if news.request != request]
             given = self._given(request)
             assert given is not None
-            return RoomGiven(target=given.name)
+            return CapacityGranted(target=given.name)
         if self._start_of(waiter, now) <= waiter.ask.room.start_by:
             return self._in_line(waiter)
         waiter.late = True
@@ -308,7 +308,9 @@
         if not self._waiting:
             self._short_since = None
 
-    def _put(self, waiter: _Waiter, outcome: RoomGiven | RefusedWithReturn, now: float) -> None:
+    def _put(
+        self, waiter: _Waiter, outcome: CapacityGranted | RefusedWithReturn, now: float
+    ) -> None:
         request = waiter.ask.room.request
         del self._waiting[request]
         self._news.append(LineNews(request=request, outcome=outcome, waited_s=now - waiter.since))
@@ -360,11 +362,11 @@
         ends_sooner = wait_s + slowest * self._work_s < pace * self._work_s
         return ends_sooner and now + wait_s <= waiter.ask.room.start_by
 
-    def _give(self, ask: LineAsk, runner: LineRunner, now: float) -> RoomGiven:
+    def _give(self, ask: LineAsk, runner: LineRunner, now: float) -> CapacityGranted:
         room = ask.room
         until = min(room.end_by, now + PLACE_KEPT_S)
         runner.give(Place(request=room.request, given_at=now, until=until))
-        return RoomGiven(target=runner.name)
+        return CapacityGranted(target=runner.name)
 
     def _given(self, request: str) -> LineRunner | None:
         return next((each for each in self._runners.values() if request in each.places), None)
--- a/lagoonlever/decisions/admission/room.py
+++ b/lagoonlever/decisions/admission/room.py
@@ -27,7 +27,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class RoomGiven:
+class CapacityGranted:
     """The work goes to this target now; the place is kept for a moment."""
 
     target: str
@@ -50,4 +50,4 @@
     retry_after_s: float
 
 
-RoomOutcome = RoomGiven | WaitInLine | RefusedWithReturn
+RoomOutcome = CapacityGranted | WaitInLine | RefusedWithReturn
--- a/lagoonlever/gateway/call_desk.py
+++ b/lagoonlever/gateway/call_desk.py
@@ -9,7 +9,7 @@
 import trio
 
 from lagoonlever.decisions.admission.call_line import CallEnd, CallLine, LineNews
-from lagoonlever.decisions.admission.room import RefusedWithReturn, RoomGiven, RoomOutcome
+from lagoonlever.decisions.admission.room import RefusedWithReturn, CapacityGranted, RoomOutcome
 from lagoonlever.decisions.targets.call_desks import groups_of
 from lagoonlever.gateway import events_calls as events
 from lagoonlever.gateway import metrics
@@ -75,7 +75,7 @@
             outcome = kept.line.ask(ask, now)
         if isinstance(outcome, RefusedWithReturn):
             self._log_refused(kept, asked.rank, outcome, now)
-        elif not isinstance(outcome, RoomGiven) and asked.first is None:
+        elif not isinstance(outcome, CapacityGranted) and asked.first is None:
             kept.replies[request] = (asked, reply)
             self._waits.set()
         told = PlaceTold.of(asked.number, asked.service, outcome, work_s=kept.line.work_s)
@@ -188,4 +188,4 @@
 
 
 def _target(news: LineNews) -> str:
-    return news.outcome.target if isinstance(news.outcome, RoomGiven) else ""
+    return news.outcome.target if isinstance(news.outcome, CapacityGranted) else ""
--- a/lagoonlever/gateway/call_places.py
+++ b/lagoonlever/gateway/call_places.py
@@ -14,7 +14,7 @@
 import trio
 
 from lagoonlever.decisions.admission.call_line import RENEW_S, CallEnd
-from lagoonlever.decisions.admission.room import RefusedWithReturn, RoomGiven, WaitInLine
+from lagoonlever.decisions.admission.room import RefusedWithReturn, CapacityGranted, WaitInLine
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS, gives
 from lagoonlever.decisions.targets.call_desks import desks_of, groups_of
 from lagoonlever.decisions.targets.listed_target import ListedTarget
@@ -180,7 +180,7 @@
         outcome = told.outcome
         if isinstance(outcome, RefusedWithReturn):
             return outcome
-        if not isinstance(outcome, RoomGiven):
+        if not isinstance(outcome, CapacityGranted):
             return RefusedWithReturn(detail="no slot is free", retry_after_s=RENEW_S)
         place = CallPlace(
             target=outcome.target,
--- a/lagoonlever/peers/messages_calls.py
+++ b/lagoonlever/peers/messages_calls.py
@@ -12,7 +12,7 @@
 from lagoonlever.decisions.admission.room import (
     RefusedWithReturn,
     CapacityRequest,
-    RoomGiven,
+    CapacityGranted,
     RoomOutcome,
     WaitInLine,
 )
@@ -73,7 +73,7 @@
     @classmethod
     def of(cls, number: int, service: str, outcome: RoomOutcome, *, work_s: float) -> PlaceTold:
         """Give the message that tells an outcome."""
-        if isinstance(outcome, RoomGiven):
+        if isinstance(outcome, CapacityGranted):
             return cls(number=number, service=service, work_s=work_s, target=outcome.target)
         if isinstance(outcome, WaitInLine):
             return cls(
@@ -95,7 +95,7 @@
     def outcome(self) -> RoomOutcome:
         """What was decided."""
         if self.target is not None:
-            return RoomGiven(target=self.target)
+            return CapacityGranted(target=self.target)
         if self.retry_after_s is not None:
             return RefusedWithReturn(detail=self.detail, retry_after_s=self.retry_after_s)
         return WaitInLine(seconds=self.wait_s or 0.0, ahead=self.ahead)
--- a/lagoonlever/tests/call_line_machine_tests.py
+++ b/lagoonlever/tests/call_line_machine_tests.py
@@ -9,7 +9,7 @@
 from lagoonlever.decisions.admission.room import (
     RefusedWithReturn,
     CapacityRequest,
-    RoomGiven,
+    CapacityGranted,
     WaitInLine,
 )
 from lagoonlever.decisions.targets.told_load import ToldLoad
@@ -107,9 +107,9 @@
             assert news.request in self.waiting, "nobody is told twice"
             self.take(news.request, news.outcome)
 
-    def take(self, request: str, outcome: RoomGiven | WaitInLine | RefusedWithReturn) -> None:
+    def take(self, request: str, outcome: CapacityGranted | WaitInLine | RefusedWithReturn) -> None:
         assert request not in self.over, "nobody is served after its end"
-        if isinstance(outcome, RoomGiven):
+        if isinstance(outcome, CapacityGranted):
             assert self.given.get(request, outcome.target) == outcome.target, "one place at most"
             self.given[request] = outcome.target
             self.waiting.discard(request)
--- a/lagoonlever/tests/call_line_tests.py
+++ b/lagoonlever/tests/call_line_tests.py
@@ -13,7 +13,7 @@
 from lagoonlever.decisions.admission.room import (
     RefusedWithReturn,
     CapacityRequest,
-    RoomGiven,
+    CapacityGranted,
     RoomOutcome,
     WaitInLine,
 )
@@ -62,7 +62,7 @@
 def fill(line: CallLine, count: int, *, now: float = 0.0) -> list[str]:
     """Take places; gives where."""
     outcomes = [line.ask(ask(f"fill-{number}", now=now), now) for number in range(count)]
-    return [outcome.target for outcome in outcomes if isinstance(outcome, RoomGiven)]
+    return [outcome.target for outcome in outcomes if isinstance(outcome, CapacityGranted)]
 
 
 def crowd(line: CallLine, *, now: float = 0.0) -> None:
@@ -78,7 +78,7 @@
 
 def test_an_idle_runner_of_the_same_data_centre_goes_first() -> None:
     line = line_of(a=1, b=1)
-    assert line.ask(ask("x", data_center="dc-b"), 0.0) == RoomGiven(target="b")
+    assert line.ask(ask("x", data_center="dc-b"), 0.0) == CapacityGranted(target="b")
 
 
 def test_a_runner_whose_machine_is_slow_now_goes_last() -> None:
@@ -99,12 +99,12 @@
     assert isinstance(line.ask(ask("x"), 0.0), WaitInLine)
     line.ended("fill-0", "a", CallEnd.ANSWERED, 0.01, seconds=0.07, load=told(running=1))
     (news,) = line.tick(0.01)
-    assert (news.request, news.outcome) == ("x", RoomGiven(target="a"))
+    assert (news.request, news.outcome) == ("x", CapacityGranted(target="a"))
 
 
 def test_nobody_is_given_two_places_for_asking_twice() -> None:
     line = line_of(a=1)
-    assert line.ask(ask("x"), 0.0) == line.ask(ask("x"), 0.0) == RoomGiven(target="a")
+    assert line.ask(ask("x"), 0.0) == line.ask(ask("x"), 0.0) == CapacityGranted(target="a")
     runner = line.runner("a")
     assert runner is not None
     assert len(runner.places) == 1
@@ -139,7 +139,7 @@
 
 def test_nothing_is_refused_while_a_slot_is_free_and_nothing_waits() -> None:
     line = line_of(a=1)
-    assert isinstance(line.ask(ask("x", aim_s=-1.0), 0.0), RoomGiven)
+    assert isinstance(line.ask(ask("x", aim_s=-1.0), 0.0), CapacityGranted)
 
 
 def test_a_late_call_is_served_after_those_on_time_where_there_is_room() -> None:
@@ -184,7 +184,7 @@
     line = line_of(a=1, b=1)
     line.ended("-", "a", CallEnd.ANSWERED, 0.0, seconds=0.1, load=told(running=3))
     assert fill(line, 2) == ["b", "b"]
-    assert isinstance(line.ask(ask("later", now=0.4), 0.4), RoomGiven)
+    assert isinstance(line.ask(ask("later", now=0.4), 0.4), CapacityGranted)
 
 
 def test_a_silent_runner_gets_nothing_more() -> None:
@@ -192,8 +192,8 @@
     line = line_of(a=1, b=1)
     fill(line, 2)
     line.ended("fill-0", "a", CallEnd.ANSWERED, 0.5, seconds=0.1, load=told())
-    assert line.ask(ask("x", now=0.9), 0.9) == RoomGiven(target="a")
-    assert line.ask(ask("y", now=0.9), 0.9) == RoomGiven(target="a")
+    assert line.ask(ask("x", now=0.9), 0.9) == CapacityGranted(target="a")
+    assert line.ask(ask("y", now=0.9), 0.9) == CapacityGranted(target="a")
 
 
 def test_a_runner_that_loses_calls_is_probed_by_one_at_a_time() -> None:
@@ -210,11 +210,11 @@
     line = line_of(a=1, b=1)
     for _ in range(5):
         line.ended("-", "a", CallEnd.FAILED, 0.0)
-    assert line.ask(ask("posting"), 0.0) == RoomGiven(target="b")
+    assert line.ask(ask("posting"), 0.0) == CapacityGranted(target="b")
     found = set()
     for number in range(20):
         outcome = line.ask(ask(f"look-{number}", repeatable=True), 0.0)
-        assert isinstance(outcome, RoomGiven)
+        assert isinstance(outcome, CapacityGranted)
         line.ended(f"look-{number}", outcome.target, CallEnd.UNUSED, 0.0)
         found.add(outcome.target)
     assert found == {"a", "b"}
@@ -232,12 +232,12 @@
 def test_a_second_attempt_needs_a_runner_in_trouble_and_a_free_slot() -> None:
     line = line_of(a=1, b=1)
     first = line.ask(ask("x"), 0.0)
-    assert isinstance(first, RoomGiven)
+    assert isinstance(first, CapacityGranted)
     second = ask("x/2", now=0.1, avoid=frozenset((first.target,)))
     assert isinstance(line.ask_second(second, first=first.target, now=0.1), WaitInLine)
     line.ended("-", first.target, CallEnd.ANSWERED, 0.1, seconds=0.2, load=told(2.5, running=1))
     outcome = line.ask_second(second, first=first.target, now=0.1)
-    assert isinstance(outcome, RoomGiven)
+    assert isinstance(outcome, CapacityGranted)
     assert outcome.target != first.target
 
 
@@ -253,7 +253,7 @@
     line = line_of(a=1)
     for _ in range(2):
         line.ended("-", "a", CallEnd.LOST, 0.0)
-    assert line.ask(ask("x"), 0.0) == RoomGiven(target="a")
+    assert line.ask(ask("x"), 0.0) == CapacityGranted(target="a")
 
 
 def test_another_process_of_a_runner_begins_with_nothing() -> None:
