--- a/lagoonlever/decisions/admission/call_line.py
+++ b/lagoonlever/decisions/admission/call_line.py
@@ -20,7 +20,7 @@
     CapacityRequest,
     CapacityGranted,
     RoomOutcome,
-    WaitInLine,
+    QueuedForCapacity,
 )
 from lagoonlever.decisions.admission.runners import UNSOUND_EXCESS
 from lagoonlever.decisions.targets.told_load import ToldLoad
@@ -180,7 +180,9 @@
         self._asked += 1
         return self._join(_Waiter(ask=ask, number=self._asked, since=now, renewed=now), now)
 
-    def ask_second(self, ask: LineAsk, *, first: str, now: float) -> CapacityGranted | WaitInLine:
+    def ask_second(
+        self, ask: LineAsk, *, first: str, now: float
+    ) -> CapacityGranted | QueuedForCapacity:
         """Give a place for a second attempt if the runner of the first is in a bad state.
 
         It never takes a slot that somebody waits for.
@@ -190,7 +192,7 @@
             return CapacityGranted(target=given.name)
         best = None if self._waiting or not self._in_trouble(first, now) else self._best(ask, now)
         if best is None:
-            return WaitInLine(seconds=RENEW_S)
+            return QueuedForCapacity(seconds=RENEW_S)
         return self._give(ask, best, now)
 
     def leave(self, request: str) -> None:
@@ -261,8 +263,8 @@
         self.leave(request)
         return self._refusal(waiter.ask, now)
 
-    def _in_line(self, waiter: _Waiter) -> WaitInLine:
-        return WaitInLine(seconds=RENEW_S, ahead=self._ahead(waiter))
+    def _in_line(self, waiter: _Waiter) -> QueuedForCapacity:
+        return QueuedForCapacity(seconds=RENEW_S, ahead=self._ahead(waiter))
 
     def _ahead(self, waiter: _Waiter) -> int:
         return sum(1 for other in self._waiting.values() if other.order < waiter.order)
--- a/lagoonlever/decisions/admission/room.py
+++ b/lagoonlever/decisions/admission/room.py
@@ -34,7 +34,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class WaitInLine:
+class QueuedForCapacity:
     """The work waits: it is told of its place, or asks again after ``seconds``."""
 
     seconds: float
@@ -50,4 +50,4 @@
     retry_after_s: float
 
 
-RoomOutcome = CapacityGranted | WaitInLine | RefusedWithReturn
+RoomOutcome = CapacityGranted | QueuedForCapacity | RefusedWithReturn
--- a/lagoonlever/gateway/call_places.py
+++ b/lagoonlever/gateway/call_places.py
@@ -14,7 +14,11 @@
 import trio
 
 from lagoonlever.decisions.admission.call_line import RENEW_S, CallEnd
-from lagoonlever.decisions.admission.room import RefusedWithReturn, CapacityGranted, WaitInLine
+from lagoonlever.decisions.admission.room import (
+    RefusedWithReturn,
+    CapacityGranted,
+    QueuedForCapacity,
+)
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS, gives
 from lagoonlever.decisions.targets.call_desks import desks_of, groups_of
 from lagoonlever.decisions.targets.listed_target import ListedTarget
@@ -217,7 +221,7 @@
             self._leave_unless_given(desk, question, told)
 
     def _waits(self, told: PlaceTold, question: _Question) -> bool:
-        return question.first is None and isinstance(told.outcome, WaitInLine)
+        return question.first is None and isinstance(told.outcome, QueuedForCapacity)
 
     def _leave_unless_given(self, desk: str, question: _Question, told: PlaceTold | None) -> None:
         """Tell a desk that an attempt waits there no longer, whether its answer was lost or not."""
--- a/lagoonlever/gateway/room_desk.py
+++ b/lagoonlever/gateway/room_desk.py
@@ -12,7 +12,11 @@
 import logbook
 import trio
 
-from lagoonlever.decisions.admission.room import RefusedWithReturn, CapacityRequest, WaitInLine
+from lagoonlever.decisions.admission.room import (
+    RefusedWithReturn,
+    CapacityRequest,
+    QueuedForCapacity,
+)
 from lagoonlever.decisions.admission.room_line import (
     LEAST_RETURN_S,
     RENEWED_WITHIN_S,
@@ -253,7 +257,7 @@
         question.reply(told)
 
     def _tell_waiting(self, place: PlaceInLine, line: RoomLine) -> None:
-        waits = WaitInLine(seconds=RENEW_S, ahead=line.ahead_of(place))
+        waits = QueuedForCapacity(seconds=RENEW_S, ahead=line.ahead_of(place))
         self._open[place].reply(LineTold(number=place.number, waits=waits))
 
     def _log_queued(self, place: PlaceInLine, line: RoomLine) -> None:
--- a/lagoonlever/peers/messages_calls.py
+++ b/lagoonlever/peers/messages_calls.py
@@ -14,7 +14,7 @@
     CapacityRequest,
     CapacityGranted,
     RoomOutcome,
-    WaitInLine,
+    QueuedForCapacity,
 )
 from lagoonlever.decisions.targets.told_load import ToldLoad
 from lagoonlever.http.messages import Address
@@ -75,7 +75,7 @@
         """Give the message that tells an outcome."""
         if isinstance(outcome, CapacityGranted):
             return cls(number=number, service=service, work_s=work_s, target=outcome.target)
-        if isinstance(outcome, WaitInLine):
+        if isinstance(outcome, QueuedForCapacity):
             return cls(
                 number=number,
                 service=service,
@@ -98,7 +98,7 @@
             return CapacityGranted(target=self.target)
         if self.retry_after_s is not None:
             return RefusedWithReturn(detail=self.detail, retry_after_s=self.retry_after_s)
-        return WaitInLine(seconds=self.wait_s or 0.0, ahead=self.ahead)
+        return QueuedForCapacity(seconds=self.wait_s or 0.0, ahead=self.ahead)
 
 
 @PEER.message("ce")
--- a/lagoonlever/peers/messages_line.py
+++ b/lagoonlever/peers/messages_line.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from lagoonlever.decisions.admission.room import RefusedWithReturn, WaitInLine
+from lagoonlever.decisions.admission.room import RefusedWithReturn, QueuedForCapacity
 from lagoonlever.decisions.streams.run_placement import RunAsk
 from lagoonlever.http.messages import Address
 from lagoonlever.peers.messages import PEER
@@ -51,7 +51,7 @@
     """What has become of a question so far: one of the three."""
 
     number: int
-    waits: WaitInLine | None = None
+    waits: QueuedForCapacity | None = None
     refused: RefusedWithReturn | None = None
     decided: PlacementTold | None = None
 
--- a/lagoonlever/tests/call_line_machine_tests.py
+++ b/lagoonlever/tests/call_line_machine_tests.py
@@ -10,7 +10,7 @@
     RefusedWithReturn,
     CapacityRequest,
     CapacityGranted,
-    WaitInLine,
+    QueuedForCapacity,
 )
 from lagoonlever.decisions.targets.told_load import ToldLoad
 
@@ -107,13 +107,15 @@
             assert news.request in self.waiting, "nobody is told twice"
             self.take(news.request, news.outcome)
 
-    def take(self, request: str, outcome: CapacityGranted | WaitInLine | RefusedWithReturn) -> None:
+    def take(
+        self, request: str, outcome: CapacityGranted | QueuedForCapacity | RefusedWithReturn
+    ) -> None:
         assert request not in self.over, "nobody is served after its end"
         if isinstance(outcome, CapacityGranted):
             assert self.given.get(request, outcome.target) == outcome.target, "one place at most"
             self.given[request] = outcome.target
             self.waiting.discard(request)
-        elif isinstance(outcome, WaitInLine):
+        elif isinstance(outcome, QueuedForCapacity):
             assert request not in self.given
             self.waiting.add(request)
         else:
--- a/lagoonlever/tests/call_line_tests.py
+++ b/lagoonlever/tests/call_line_tests.py
@@ -15,7 +15,7 @@
     CapacityRequest,
     CapacityGranted,
     RoomOutcome,
-    WaitInLine,
+    QueuedForCapacity,
 )
 from lagoonlever.decisions.targets.told_load import ToldLoad
 
@@ -96,7 +96,7 @@
 def test_a_call_waits_for_a_slot_rather_than_at_a_runner_and_is_told_when_it_is_free() -> None:
     line = line_of(a=1, b=1)
     fill(line, FULL)
-    assert isinstance(line.ask(ask("x"), 0.0), WaitInLine)
+    assert isinstance(line.ask(ask("x"), 0.0), QueuedForCapacity)
     line.ended("fill-0", "a", CallEnd.ANSWERED, 0.01, seconds=0.07, load=told(running=1))
     (news,) = line.tick(0.01)
     assert (news.request, news.outcome) == ("x", CapacityGranted(target="a"))
@@ -128,7 +128,7 @@
     fill(line, FULL)
     crowd(line)
     outcomes: list[RoomOutcome] = [line.ask(ask(f"x-{number}"), 0.0) for number in range(40)]
-    waits = [each for each in outcomes if isinstance(each, WaitInLine)]
+    waits = [each for each in outcomes if isinstance(each, QueuedForCapacity)]
     refused = [each for each in outcomes if isinstance(each, RefusedWithReturn)]
     assert len(waits) == 10, "what two runners of two slots do in 0.25 s"
     assert len(refused) == 30
@@ -145,7 +145,7 @@
 def test_a_late_call_is_served_after_those_on_time_where_there_is_room() -> None:
     line = line_of(a=1, b=1)
     fill(line, FULL)
-    assert isinstance(line.ask(ask("late", aim_s=-0.1), 0.0), WaitInLine)
+    assert isinstance(line.ask(ask("late", aim_s=-0.1), 0.0), QueuedForCapacity)
     line.ask(ask("on-time"), 0.0)
     line.ended("fill-0", "a", CallEnd.UNUSED, 0.01)
     assert [news.request for news in line.tick(0.01)] == ["on-time"]
@@ -158,7 +158,7 @@
     for number in range(10):
         line.ask(ask(f"x-{number}", rank=2), 0.0)
     assert isinstance(line.ask(ask("patient", rank=2), 0.0), RefusedWithReturn)
-    assert isinstance(line.ask(ask("urgent"), 0.0), WaitInLine)
+    assert isinstance(line.ask(ask("urgent"), 0.0), QueuedForCapacity)
 
 
 def test_a_place_whose_end_is_lost_is_free_again() -> None:
@@ -234,7 +234,7 @@
     first = line.ask(ask("x"), 0.0)
     assert isinstance(first, CapacityGranted)
     second = ask("x/2", now=0.1, avoid=frozenset((first.target,)))
-    assert isinstance(line.ask_second(second, first=first.target, now=0.1), WaitInLine)
+    assert isinstance(line.ask_second(second, first=first.target, now=0.1), QueuedForCapacity)
     line.ended("-", first.target, CallEnd.ANSWERED, 0.1, seconds=0.2, load=told(2.5, running=1))
     outcome = line.ask_second(second, first=first.target, now=0.1)
     assert isinstance(outcome, CapacityGranted)
@@ -246,7 +246,7 @@
     fill(line, FULL)
     line.ask(ask("waits"), 0.0)
     second = ask("fill-0/2", avoid=frozenset(("a",)))
-    assert isinstance(line.ask_second(second, first="a", now=0.0), WaitInLine)
+    assert isinstance(line.ask_second(second, first="a", now=0.0), QueuedForCapacity)
 
 
 def test_where_every_runner_looks_stalled_one_is_tried() -> None:
