--- a/lagoonlever/bench/call_places_model.py
+++ b/lagoonlever/bench/call_places_model.py
@@ -15,7 +15,11 @@
 import attrs
 
 from lagoonlever.decisions.admission.call_line import CallEnd, CallLine, LineAsk
-from lagoonlever.decisions.admission.room import RefusedWithReturn, CapacityRequest, CapacityGranted
+from lagoonlever.decisions.admission.room import (
+    RejectedWithRetryAfter,
+    CapacityRequest,
+    CapacityGranted,
+)
 from lagoonlever.decisions.admission.runners import Runners
 from lagoonlever.decisions.targets.told_load import ToldLoad
 
@@ -169,7 +173,7 @@
             return
         if isinstance(outcome, CapacityGranted):
             self._send(call, outcome.target)
-        elif isinstance(outcome, RefusedWithReturn):
+        elif isinstance(outcome, RejectedWithRetryAfter):
             call.refused_at = self._now
 
     def _look(self) -> None:
--- a/lagoonlever/decisions/admission/call_line.py
+++ b/lagoonlever/decisions/admission/call_line.py
@@ -16,7 +16,7 @@
 
 from lagoonlever.decisions.admission.line_runner import PLACE_KEPT_S, LineRunner, Place
 from lagoonlever.decisions.admission.room import (
-    RefusedWithReturn,
+    RejectedWithRetryAfter,
     CapacityRequest,
     CapacityGranted,
     RoomOutcome,
@@ -85,7 +85,7 @@
     """What has been decided of an attempt that waited."""
 
     request: str
-    outcome: CapacityGranted | RefusedWithReturn
+    outcome: CapacityGranted | RejectedWithRetryAfter
     waited_s: float
 
 
@@ -311,7 +311,7 @@
             self._short_since = None
 
     def _put(
-        self, waiter: _Waiter, outcome: CapacityGranted | RefusedWithReturn, now: float
+        self, waiter: _Waiter, outcome: CapacityGranted | RejectedWithRetryAfter, now: float
     ) -> None:
         request = waiter.ask.room.request
         del self._waiting[request]
@@ -384,7 +384,7 @@
         paces = [each.slowness(now) for each in self._runners.values()]
         return runner.slowness(now) > SLOWER * min(paces) or runner.free(now) < 0
 
-    def _refusal(self, ask: LineAsk, now: float) -> RefusedWithReturn:
+    def _refusal(self, ask: LineAsk, now: float) -> RejectedWithRetryAfter:
         """Refuse; those refused come back one after the other, once what is short is over."""
         if self._short_since is None:
             self._short_since = now
@@ -395,7 +395,7 @@
         useful_s = ask.room.end_by - now - END_SLACK * self._work_s
         retry_after_s = min(self._last_return - now, max(LEAST_RETURN_S, useful_s), MOST_RETURN_S)
         detail = f"{len(self._waiting)} calls wait for runners that do {per_s:.0f} a second"
-        return RefusedWithReturn(detail=detail, retry_after_s=round(retry_after_s, 2))
+        return RejectedWithRetryAfter(detail=detail, retry_after_s=round(retry_after_s, 2))
 
     def _learn(self, work_s: float, held_s: float) -> None:
         self._work_s += WORK_WEIGHT * (work_s - self._work_s)
--- a/lagoonlever/decisions/admission/room.py
+++ b/lagoonlever/decisions/admission/room.py
@@ -43,11 +43,11 @@
 
 
 @attrs.frozen(kw_only=True)
-class RefusedWithReturn:
+class RejectedWithRetryAfter:
     """No target can begin the work in time; there will be room after ``retry_after_s``."""
 
     detail: str
     retry_after_s: float
 
 
-RoomOutcome = CapacityGranted | QueuedForCapacity | RefusedWithReturn
+RoomOutcome = CapacityGranted | QueuedForCapacity | RejectedWithRetryAfter
--- a/lagoonlever/decisions/admission/room_line.py
+++ b/lagoonlever/decisions/admission/room_line.py
@@ -19,7 +19,7 @@
 
 import attrs
 
-from lagoonlever.decisions.admission.room import RefusedWithReturn, CapacityRequest
+from lagoonlever.decisions.admission.room import RejectedWithRetryAfter, CapacityRequest
 
 RENEWED_WITHIN_S = 0.75
 """A prompt that its VM has not asked for again within this time is dropped."""
@@ -198,7 +198,7 @@
 
     def refusal(
         self, place: PlaceInLine, now: float, *, most_per_s: float
-    ) -> RefusedWithReturn | None:
+    ) -> RejectedWithRetryAfter | None:
         """Give why the line can't reach a prompt in its time, and when there will be room.
 
         Who is late in any case waits as long as an answer can still be made.
@@ -212,7 +212,7 @@
         if now + SURELY * ahead / per_s <= start_by:
             return None
         longest_s = max(LEAST_RETURN_S, MOST_RETURN_PART * (waiting.ask.end_by - now))
-        return RefusedWithReturn(
+        return RejectedWithRetryAfter(
             detail=f"{ahead} prompts go first, and engines begin {per_s:.1f} a second",
             retry_after_s=min(longest_s, max(LEAST_RETURN_S, len(ordered) / per_s)),
         )
--- a/lagoonlever/gateway/attempt_planner.py
+++ b/lagoonlever/gateway/attempt_planner.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from lagoonlever.decisions.admission.room import RefusedWithReturn
+from lagoonlever.decisions.admission.room import RejectedWithRetryAfter
 from lagoonlever.decisions.streams.booked_runs import BookedRun, RunCopy
 from lagoonlever.decisions.streams.life import Place, ResumeFrom, StreamLife
 from lagoonlever.decisions.streams.run_placement import (
@@ -48,9 +48,9 @@
 
     async def plan(
         self, accepted: Accepted, life: StreamLife, step: Place | ResumeFrom
-    ) -> AttemptPlan | BudgetSpent | Overloaded | RefusedWithReturn | None:
+    ) -> AttemptPlan | BudgetSpent | Overloaded | RejectedWithRetryAfter | None:
         """Give the attempt, or why there is none; None where the life has another step to try."""
-        outcome: RunOutcome | RefusedWithReturn = NoEngine()
+        outcome: RunOutcome | RejectedWithRetryAfter = NoEngine()
         gathering: str | None = None
         if not isinstance(step, ResumeFrom) or self._holder_of(step.copy) is not None:
             copies = self._beliefs.engine_limits(accepted.service).copies
@@ -59,7 +59,7 @@
             ask = attrs.evolve(ask, avoid=tuple(sorted({*ask.avoid, *held})))
             gathering = self._gathering(accepted, step, ask)
             outcome = await self._place(accepted, life, step, ask, gathering)
-        if isinstance(outcome, BudgetSpent | Overloaded | RefusedWithReturn):
+        if isinstance(outcome, BudgetSpent | Overloaded | RejectedWithRetryAfter):
             return outcome
         found = self._beliefs.targets.find(outcome.engine) if isinstance(outcome, Placed) else None
         if found is None or not isinstance(outcome, Placed):
@@ -75,7 +75,7 @@
         step: Place | ResumeFrom,
         ask: RunAsk,
         gathering: str | None,
-    ) -> RunOutcome | RefusedWithReturn:
+    ) -> RunOutcome | RejectedWithRetryAfter:
         """Find a place, by the line if the service has one and the prompt is to be read.
 
         What goes on where its prompt was read goes at once: its pause is what counts.
--- a/lagoonlever/gateway/call_desk.py
+++ b/lagoonlever/gateway/call_desk.py
@@ -9,7 +9,11 @@
 import trio
 
 from lagoonlever.decisions.admission.call_line import CallEnd, CallLine, LineNews
-from lagoonlever.decisions.admission.room import RefusedWithReturn, CapacityGranted, RoomOutcome
+from lagoonlever.decisions.admission.room import (
+    RejectedWithRetryAfter,
+    CapacityGranted,
+    RoomOutcome,
+)
 from lagoonlever.decisions.targets.call_desks import groups_of
 from lagoonlever.gateway import events_calls as events
 from lagoonlever.gateway import metrics
@@ -73,7 +77,7 @@
             outcome: RoomOutcome = kept.line.ask_second(ask, first=asked.first, now=now)
         else:
             outcome = kept.line.ask(ask, now)
-        if isinstance(outcome, RefusedWithReturn):
+        if isinstance(outcome, RejectedWithRetryAfter):
             self._log_refused(kept, asked.rank, outcome, now)
         elif not isinstance(outcome, CapacityGranted) and asked.first is None:
             kept.replies[request] = (asked, reply)
@@ -158,7 +162,7 @@
             kept.replies.clear()
 
     def _log_news(self, kept: _Line, asked: PlaceAsk, news: LineNews, now: float) -> None:
-        if isinstance(news.outcome, RefusedWithReturn):
+        if isinstance(news.outcome, RejectedWithRetryAfter):
             self._log_refused(kept, asked.rank, news.outcome, now)
             return
         self._tally.record(metrics.CALL_PLACE_WAIT, news.waited_s)
@@ -171,7 +175,9 @@
             runners=kept.line.describe(now),
         )
 
-    def _log_refused(self, kept: _Line, rank: int, refused: RefusedWithReturn, now: float) -> None:
+    def _log_refused(
+        self, kept: _Line, rank: int, refused: RejectedWithRetryAfter, now: float
+    ) -> None:
         self._tally.add(metrics.CALLS_REFUSED_FOR_ROOM, str(rank))
         events.CALL_REFUSED.log(
             log,
--- a/lagoonlever/gateway/call_exchange.py
+++ b/lagoonlever/gateway/call_exchange.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from lagoonlever.decisions.admission.room import RefusedWithReturn
+from lagoonlever.decisions.admission.room import RejectedWithRetryAfter
 from lagoonlever.decisions.rollouts.book import Lane
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS, gives
 from lagoonlever.decisions.targets.limit_permits import Denied, need_of
@@ -59,7 +59,7 @@
     detail: str = ""
     failure: Answered | None = None
     """A target's own failure, to be passed on if nothing better comes."""
-    no_room: RefusedWithReturn | None = None
+    no_room: RejectedWithRetryAfter | None = None
     """Set where no runner could begin it in time."""
     _may_have_run: set[str] = attrs.field(factory=set)
 
--- a/lagoonlever/gateway/call_places.py
+++ b/lagoonlever/gateway/call_places.py
@@ -15,7 +15,7 @@
 
 from lagoonlever.decisions.admission.call_line import RENEW_S, CallEnd
 from lagoonlever.decisions.admission.room import (
-    RefusedWithReturn,
+    RejectedWithRetryAfter,
     CapacityGranted,
     QueuedForCapacity,
 )
@@ -67,7 +67,7 @@
     """The VM that gave it."""
 
 
-PlaceOutcome = CallPlace | RefusedWithReturn | None
+PlaceOutcome = CallPlace | RejectedWithRetryAfter | None
 """None where the VM chooses by itself."""
 
 
@@ -182,10 +182,10 @@
 
     def _outcome(self, told: PlaceTold, question: _Question, desk: str) -> PlaceOutcome:
         outcome = told.outcome
-        if isinstance(outcome, RefusedWithReturn):
+        if isinstance(outcome, RejectedWithRetryAfter):
             return outcome
         if not isinstance(outcome, CapacityGranted):
-            return RefusedWithReturn(detail="no slot is free", retry_after_s=RENEW_S)
+            return RejectedWithRetryAfter(detail="no slot is free", retry_after_s=RENEW_S)
         place = CallPlace(
             target=outcome.target,
             number=question.number,
--- a/lagoonlever/gateway/once_calls.py
+++ b/lagoonlever/gateway/once_calls.py
@@ -7,7 +7,7 @@
 import attrs
 import trio
 
-from lagoonlever.decisions.admission.room import RefusedWithReturn
+from lagoonlever.decisions.admission.room import RejectedWithRetryAfter
 from lagoonlever.decisions.admission.runners import Runners
 from lagoonlever.decisions.targets.listed_target import ListedTarget
 from lagoonlever.gateway.accepted import Accepted
@@ -55,7 +55,7 @@
         unreached: set[str] = set()
         while call.sent < call.accepted.route.max_attempts and len(tried) < MOST_ATTEMPTS:
             place = await self._exchange.place(call, tried=tried)
-            if isinstance(place, RefusedWithReturn):
+            if isinstance(place, RejectedWithRetryAfter):
                 call.no_room = place
                 return None
             target = self._target(place) or self._choose(call, tried, unreached)
--- a/lagoonlever/gateway/repeatable_calls.py
+++ b/lagoonlever/gateway/repeatable_calls.py
@@ -7,7 +7,7 @@
 
 from lagoonlever.decisions.admission.hedging import HedgedCall, HedgeDelay, Send, Stop, Wait
 from lagoonlever.decisions.admission.retry_window import RetryWindow
-from lagoonlever.decisions.admission.room import RefusedWithReturn
+from lagoonlever.decisions.admission.room import RejectedWithRetryAfter
 from lagoonlever.decisions.admission.runners import Runners
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS, gives
 from lagoonlever.decisions.shares.budgets import RetryBudget
@@ -75,11 +75,11 @@
         """The runner of the place."""
         return (self._next.target,) if self._next else ()
 
-    async def first(self) -> RefusedWithReturn | None:
+    async def first(self) -> RejectedWithRetryAfter | None:
         """Get a place for the first attempt, or be refused."""
         return self._got(await self._exchange.place(self._call)) if self.is_on else None
 
-    async def extra(self, *, beside: bool, tried: tuple[str, ...]) -> RefusedWithReturn | None:
+    async def extra(self, *, beside: bool, tried: tuple[str, ...]) -> RejectedWithRetryAfter | None:
         """Get a place for a further attempt: ``beside`` an open one only if that is in trouble."""
         if not self.is_on:
             return None
@@ -100,8 +100,8 @@
         if place is not None:
             self._exchange.places.unused(place)
 
-    def _got(self, outcome: PlaceOutcome) -> RefusedWithReturn | None:
-        if isinstance(outcome, RefusedWithReturn):
+    def _got(self, outcome: PlaceOutcome) -> RejectedWithRetryAfter | None:
+        if isinstance(outcome, RejectedWithRetryAfter):
             return outcome
         self._next = outcome
         # Nobody gives out places now: the VM chooses by itself.
--- a/lagoonlever/gateway/room_asker.py
+++ b/lagoonlever/gateway/room_asker.py
@@ -15,7 +15,7 @@
 import logbook
 import trio
 
-from lagoonlever.decisions.admission.room import RefusedWithReturn
+from lagoonlever.decisions.admission.room import RejectedWithRetryAfter
 from lagoonlever.decisions.admission.room_line import PlaceInLine
 from lagoonlever.decisions.fleet.queue_coordinators import (
     MAX_COORDINATORS_ASKED,
@@ -46,7 +46,7 @@
 """After its last question an asker that was paused takes no place: it may be another's."""
 TOLD_MOST = 8
 
-LineOutcome = RunOutcome | RefusedWithReturn
+LineOutcome = RunOutcome | RejectedWithRetryAfter
 
 
 @MECHANISMS.register(
--- a/lagoonlever/gateway/room_desk.py
+++ b/lagoonlever/gateway/room_desk.py
@@ -13,7 +13,7 @@
 import trio
 
 from lagoonlever.decisions.admission.room import (
-    RefusedWithReturn,
+    RejectedWithRetryAfter,
     CapacityRequest,
     QueuedForCapacity,
 )
@@ -229,7 +229,9 @@
         self._turn_away(place, line, refused)
         return True
 
-    def _turn_away(self, place: PlaceInLine, line: RoomLine, refused: RefusedWithReturn) -> None:
+    def _turn_away(
+        self, place: PlaceInLine, line: RoomLine, refused: RejectedWithRetryAfter
+    ) -> None:
         question, waiting = self._open[place], len(line)
         ask = question.asked.ask
         self._count(ask.service, question.asked.need.rank, "refused")
@@ -323,6 +325,6 @@
         self._ranks_told.update(by_rank)
 
 
-def _time_over() -> RefusedWithReturn:
+def _time_over() -> RejectedWithRetryAfter:
     detail = "its answer could not end in its caller's time any more"
-    return RefusedWithReturn(detail=detail, retry_after_s=LEAST_RETURN_S)
+    return RejectedWithRetryAfter(detail=detail, retry_after_s=LEAST_RETURN_S)
--- a/lagoonlever/gateway/stream_admission.py
+++ b/lagoonlever/gateway/stream_admission.py
@@ -8,7 +8,7 @@
 import logbook
 
 from lagoonlever.decisions.admission.prompt_admission import come_back_s
-from lagoonlever.decisions.admission.room import RefusedWithReturn
+from lagoonlever.decisions.admission.room import RejectedWithRetryAfter
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS, gives
 from lagoonlever.decisions.streams.life import (
     GiveUp,
@@ -74,7 +74,7 @@
         )
         return least_s <= left_s
 
-    def turned_away(self, refused: RefusedWithReturn) -> GiveUp:
+    def turned_away(self, refused: RejectedWithRetryAfter) -> GiveUp:
         """Give why a prompt is refused that the line for engines can't reach in its time."""
         spread = self._rng.uniform(1.0, 1.0 + RETURN_SPREAD)
         return GiveUp(
--- a/lagoonlever/gateway/streams.py
+++ b/lagoonlever/gateway/streams.py
@@ -6,7 +6,7 @@
 import logbook
 import trio
 
-from lagoonlever.decisions.admission.room import RefusedWithReturn
+from lagoonlever.decisions.admission.room import RejectedWithRetryAfter
 from lagoonlever.decisions.streams.booked_runs import BookedRun, RunCopy
 from lagoonlever.decisions.streams.life import GiveUp, StreamLife, WaitForEngine
 from lagoonlever.decisions.streams.run_placement import BudgetSpent, Overloaded
@@ -140,7 +140,7 @@
             plan = await self._planner.plan(accepted, life, step)
             if isinstance(plan, Overloaded):
                 return self._admission.overloaded(accepted, plan)
-            if isinstance(plan, RefusedWithReturn):
+            if isinstance(plan, RejectedWithRetryAfter):
                 return self._admission.turned_away(plan)
             if isinstance(plan, BudgetSpent):
                 events.REPEAT_WAITS.log(log, request=accepted.request_id, service=accepted.service)
--- a/lagoonlever/peers/messages_calls.py
+++ b/lagoonlever/peers/messages_calls.py
@@ -10,7 +10,7 @@
 
 from lagoonlever.decisions.admission.call_line import CallEnd, LineAsk
 from lagoonlever.decisions.admission.room import (
-    RefusedWithReturn,
+    RejectedWithRetryAfter,
     CapacityRequest,
     CapacityGranted,
     RoomOutcome,
@@ -97,7 +97,7 @@
         if self.target is not None:
             return CapacityGranted(target=self.target)
         if self.retry_after_s is not None:
-            return RefusedWithReturn(detail=self.detail, retry_after_s=self.retry_after_s)
+            return RejectedWithRetryAfter(detail=self.detail, retry_after_s=self.retry_after_s)
         return QueuedForCapacity(seconds=self.wait_s or 0.0, ahead=self.ahead)
 
 
--- a/lagoonlever/tests/call_line_machine_tests.py
+++ b/lagoonlever/tests/call_line_machine_tests.py
@@ -7,7 +7,7 @@
 
 from lagoonlever.decisions.admission.call_line import QUEUED, CallEnd, CallLine, LineAsk
 from lagoonlever.decisions.admission.room import (
-    RefusedWithReturn,
+    RejectedWithRetryAfter,
     CapacityRequest,
     CapacityGranted,
     QueuedForCapacity,
@@ -108,7 +108,7 @@
             self.take(news.request, news.outcome)
 
     def take(
-        self, request: str, outcome: CapacityGranted | QueuedForCapacity | RefusedWithReturn
+        self, request: str, outcome: CapacityGranted | QueuedForCapacity | RejectedWithRetryAfter
     ) -> None:
         assert request not in self.over, "nobody is served after its end"
         if isinstance(outcome, CapacityGranted):
--- a/lagoonlever/tests/call_line_tests.py
+++ b/lagoonlever/tests/call_line_tests.py
@@ -11,7 +11,7 @@
     LineAsk,
 )
 from lagoonlever.decisions.admission.room import (
-    RefusedWithReturn,
+    RejectedWithRetryAfter,
     CapacityRequest,
     CapacityGranted,
     RoomOutcome,
@@ -129,7 +129,7 @@
     crowd(line)
     outcomes: list[RoomOutcome] = [line.ask(ask(f"x-{number}"), 0.0) for number in range(40)]
     waits = [each for each in outcomes if isinstance(each, QueuedForCapacity)]
-    refused = [each for each in outcomes if isinstance(each, RefusedWithReturn)]
+    refused = [each for each in outcomes if isinstance(each, RejectedWithRetryAfter)]
     assert len(waits) == 10, "what two runners of two slots do in 0.25 s"
     assert len(refused) == 30
     returns = [each.retry_after_s for each in refused]
@@ -157,7 +157,7 @@
     crowd(line)
     for number in range(10):
         line.ask(ask(f"x-{number}", rank=2), 0.0)
-    assert isinstance(line.ask(ask("patient", rank=2), 0.0), RefusedWithReturn)
+    assert isinstance(line.ask(ask("patient", rank=2), 0.0), RejectedWithRetryAfter)
     assert isinstance(line.ask(ask("urgent"), 0.0), QueuedForCapacity)
 
 
--- a/lagoonlever/tests/call_places_tests.py
+++ b/lagoonlever/tests/call_places_tests.py
@@ -11,7 +11,7 @@
 
 from lagoonlever.bench.local_fleet import Fleet, FleetVm, run_fleet, start_many
 from lagoonlever.decisions.admission.call_line import QUEUED
-from lagoonlever.decisions.admission.room import RefusedWithReturn
+from lagoonlever.decisions.admission.room import RejectedWithRetryAfter
 from lagoonlever.decisions.settings.configuration import RouteKind, ServiceRoute
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS
 from lagoonlever.decisions.targets.call_desks import RUNNERS_A_DESK, desks_of, groups_of
@@ -324,7 +324,7 @@
             for number in range(100):
                 nursery.start_soon(ask, others(vms)[number % 6])
             await trio.sleep(0.01)
-            refused = [each for each in outcomes if isinstance(each, RefusedWithReturn)]
+            refused = [each for each in outcomes if isinstance(each, RejectedWithRetryAfter)]
             nursery.cancel_scope.cancel()
         assert len(refused) > 20
         assert all(0 < each.retry_after_s <= 5 for each in refused)
--- a/lagoonlever/tests/room_asker_tests.py
+++ b/lagoonlever/tests/room_asker_tests.py
@@ -11,7 +11,7 @@
 
 from lagoonlever.bench.local_fleet import Fleet, run_fleet, start_many
 from lagoonlever.bench.placing_fleet import MEMORY, PROMPT, SERVICE, PlacingVm, placing_fleet
-from lagoonlever.decisions.admission.room import RefusedWithReturn
+from lagoonlever.decisions.admission.room import RejectedWithRetryAfter
 from lagoonlever.decisions.admission.room_line import RENEWED_WITHIN_S
 from lagoonlever.decisions.fleet.queue_coordinators import queue_coordinators
 from lagoonlever.decisions.settings.configuration import (
@@ -299,7 +299,7 @@
         await trio.sleep(0.05)
         began = trio.current_time()
         outcome = await room.others()[0].asker.place(ask_of("last"), need(in_s=10.0))
-        assert isinstance(outcome, RefusedWithReturn)
+        assert isinstance(outcome, RejectedWithRetryAfter)
         assert trio.current_time() - began <= 10.0 / 8
 
     run_room(story)
--- a/lagoonlever/tests/room_line_load_tests.py
+++ b/lagoonlever/tests/room_line_load_tests.py
@@ -11,7 +11,7 @@
 
 from lagoonlever.bench.local_fleet import Fleet, run_fleet, start_many
 from lagoonlever.bench.placing_fleet import MEMORY, PROMPT, SERVICE, PlacingVm, placing_fleet
-from lagoonlever.decisions.admission.room import RefusedWithReturn
+from lagoonlever.decisions.admission.room import RejectedWithRetryAfter
 from lagoonlever.decisions.streams.run_placement import Placed, RunAsk
 from lagoonlever.peers.messages_gateway import RunEnded
 from lagoonlever.peers.messages_line import LineNeed
@@ -93,7 +93,7 @@
                 end_in_s=CALLER_S - waited_s,
             )
             outcome = await (vm.asker.place(ask, need) if self.with_line else vm.placer.place(ask))
-            if isinstance(outcome, RefusedWithReturn):
+            if isinstance(outcome, RejectedWithRetryAfter):
                 assert trio.current_time() - arrived <= aim_s / 8
                 self.refused[rank] += 1
                 break
