--- a/lagoonlever/decisions/admission/call_line.py
+++ b/lagoonlever/decisions/admission/call_line.py
@@ -19,7 +19,7 @@
     RejectedWithRetryAfter,
     CapacityRequest,
     CapacityGranted,
-    RoomOutcome,
+    CapacityOutcome,
     QueuedForCapacity,
 )
 from lagoonlever.decisions.admission.runners import UNSOUND_EXCESS
@@ -165,7 +165,7 @@
         if former is not None:
             self._runners[name] = LineRunner(name=name, data_center=former.data_center)
 
-    def ask(self, ask: LineAsk, now: float) -> RoomOutcome:
+    def ask(self, ask: LineAsk, now: float) -> CapacityOutcome:
         """Decide for an attempt; the same one may ask again, and is given one place at most."""
         request = ask.room.request
         given = self._given(request)
@@ -246,7 +246,7 @@
         for runner in self._runners.values():
             runner.expire(now)
 
-    def _join(self, waiter: _Waiter, now: float) -> RoomOutcome:
+    def _join(self, waiter: _Waiter, now: float) -> CapacityOutcome:
         request = waiter.ask.room.request
         self._waiting[request] = waiter
         self._serve(now)
--- a/lagoonlever/decisions/admission/room.py
+++ b/lagoonlever/decisions/admission/room.py
@@ -50,4 +50,4 @@
     retry_after_s: float
 
 
-RoomOutcome = CapacityGranted | QueuedForCapacity | RejectedWithRetryAfter
+CapacityOutcome = CapacityGranted | QueuedForCapacity | RejectedWithRetryAfter
--- a/lagoonlever/gateway/call_desk.py
+++ b/lagoonlever/gateway/call_desk.py
@@ -12,7 +12,7 @@
 from lagoonlever.decisions.admission.room import (
     RejectedWithRetryAfter,
     CapacityGranted,
-    RoomOutcome,
+    CapacityOutcome,
 )
 from lagoonlever.decisions.targets.call_desks import groups_of
 from lagoonlever.gateway import events_calls as events
@@ -74,7 +74,7 @@
         request = _request(vm, asked.number)
         ask = asked.line_ask(request, now)
         if asked.first is not None:
-            outcome: RoomOutcome = kept.line.ask_second(ask, first=asked.first, now=now)
+            outcome: CapacityOutcome = kept.line.ask_second(ask, first=asked.first, now=now)
         else:
             outcome = kept.line.ask(ask, now)
         if isinstance(outcome, RejectedWithRetryAfter):
--- a/lagoonlever/peers/messages_calls.py
+++ b/lagoonlever/peers/messages_calls.py
@@ -13,7 +13,7 @@
     RejectedWithRetryAfter,
     CapacityRequest,
     CapacityGranted,
-    RoomOutcome,
+    CapacityOutcome,
     QueuedForCapacity,
 )
 from lagoonlever.decisions.targets.told_load import ToldLoad
@@ -71,7 +71,7 @@
     detail: str = ""
 
     @classmethod
-    def of(cls, number: int, service: str, outcome: RoomOutcome, *, work_s: float) -> PlaceTold:
+    def of(cls, number: int, service: str, outcome: CapacityOutcome, *, work_s: float) -> PlaceTold:
         """Give the message that tells an outcome."""
         if isinstance(outcome, CapacityGranted):
             return cls(number=number, service=service, work_s=work_s, target=outcome.target)
@@ -92,7 +92,7 @@
         )
 
     @property
-    def outcome(self) -> RoomOutcome:
+    def outcome(self) -> CapacityOutcome:
         """What was decided."""
         if self.target is not None:
             return CapacityGranted(target=self.target)
--- a/lagoonlever/tests/call_line_tests.py
+++ b/lagoonlever/tests/call_line_tests.py
@@ -14,7 +14,7 @@
     RejectedWithRetryAfter,
     CapacityRequest,
     CapacityGranted,
-    RoomOutcome,
+    CapacityOutcome,
     QueuedForCapacity,
 )
 from lagoonlever.decisions.targets.told_load import ToldLoad
@@ -127,7 +127,7 @@
     line = line_of(a=1, b=1)
     fill(line, FULL)
     crowd(line)
-    outcomes: list[RoomOutcome] = [line.ask(ask(f"x-{number}"), 0.0) for number in range(40)]
+    outcomes: list[CapacityOutcome] = [line.ask(ask(f"x-{number}"), 0.0) for number in range(40)]
     waits = [each for each in outcomes if isinstance(each, QueuedForCapacity)]
     refused = [each for each in outcomes if isinstance(each, RejectedWithRetryAfter)]
     assert len(waits) == 10, "what two runners of two slots do in 0.25 s"
