--- a/lagoonlever/bench/call_places_model.py
+++ b/lagoonlever/bench/call_places_model.py
@@ -1,7 +1,7 @@
 """A model of calls from many VMs at few runners, under three ways to choose a runner.
 
 ``own``: each VM by its own few outstanding calls; ``news``: by loads that all VMs are told of
-every 0.1 s; ``line``: by a ``CallLine`` at one of them, with messages that may be lost.
+every 0.1 s; ``line``: by a ``CallQueue`` at one of them, with messages that may be lost.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 import attrs
 
-from lagoonlever.decisions.admission.call_line import CallEnd, CallLine, LineAsk
+from lagoonlever.decisions.admission.call_line import CallEnd, CallQueue, LineAsk
 from lagoonlever.decisions.admission.room import (
     RejectedWithRetryAfter,
     CapacityRequest,
@@ -86,7 +86,7 @@
     )
     calls: list[ModelCall] = attrs.field(factory=list)
     messages: int = 0
-    line: CallLine = attrs.field(factory=CallLine)
+    line: CallQueue = attrs.field(factory=CallQueue)
     _events: list[tuple[float, int, Callable[[], None]]] = attrs.field(factory=list)
     _order: itertools.count[int] = attrs.field(factory=itertools.count)
     _now: float = 0.0
@@ -185,7 +185,7 @@
             self._tell(self.calls[int(news.request)], news.outcome)
 
     def _desk_dies(self) -> None:
-        self.line = CallLine()
+        self.line = CallQueue()
 
     def _lost(self) -> bool:
         return self._rng.random() < self.loss
--- a/lagoonlever/decisions/admission/call_line.py
+++ b/lagoonlever/decisions/admission/call_line.py
@@ -106,7 +106,7 @@
 
 
 @attrs.define(kw_only=True)
-class CallLine:
+class CallQueue:
     """The places of a group of runners; times are seconds of one monotonic clock."""
 
     _runners: dict[str, LineRunner] = attrs.field(factory=dict)
--- a/lagoonlever/gateway/call_desk.py
+++ b/lagoonlever/gateway/call_desk.py
@@ -8,7 +8,7 @@
 import logbook
 import trio
 
-from lagoonlever.decisions.admission.call_line import CallEnd, CallLine, LineNews
+from lagoonlever.decisions.admission.call_line import CallEnd, CallQueue, LineNews
 from lagoonlever.decisions.admission.room import (
     RejectedWithRetryAfter,
     CapacityGranted,
@@ -40,7 +40,7 @@
 class _Line:
     service: str
     group: int
-    line: CallLine = attrs.field(factory=CallLine)
+    line: CallQueue = attrs.field(factory=CallQueue)
     replies: dict[str, tuple[PlaceAsk, Reply]] = attrs.field(factory=dict)
     """To those that wait."""
     asked_at: float = 0.0
--- a/lagoonlever/tests/call_line_machine_tests.py
+++ b/lagoonlever/tests/call_line_machine_tests.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from lagoonlever.decisions.admission.call_line import QUEUED, CallEnd, CallLine, LineAsk
+from lagoonlever.decisions.admission.call_line import QUEUED, CallEnd, CallQueue, LineAsk
 from lagoonlever.decisions.admission.room import (
     RejectedWithRetryAfter,
     CapacityRequest,
@@ -27,7 +27,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.now = 0.0
-        self.line = CallLine()
+        self.line = CallQueue()
         self.asks: dict[str, LineAsk] = {}
         self.waiting: set[str] = set()
         self.given: dict[str, str] = {}
--- a/lagoonlever/tests/call_line_tests.py
+++ b/lagoonlever/tests/call_line_tests.py
@@ -7,7 +7,7 @@
     QUEUED,
     SILENT_S,
     CallEnd,
-    CallLine,
+    CallQueue,
     LineAsk,
 )
 from lagoonlever.decisions.admission.room import (
@@ -50,22 +50,22 @@
     return ToldLoad(running=running, waiting=0, slots=slots, slowness=slowness)
 
 
-def line_of(**slowness: float) -> CallLine:
+def line_of(**slowness: float) -> CallQueue:
     """Give a line whose runners have two slots each, and have told their slowness now."""
-    line = CallLine()
+    line = CallQueue()
     line.retain({name: f"dc-{name}" for name in slowness})
     for name, pace in slowness.items():
         line.ended("-", name, CallEnd.ANSWERED, 0.0, seconds=0.1 * pace, load=told(pace))
     return line
 
 
-def fill(line: CallLine, count: int, *, now: float = 0.0) -> list[str]:
+def fill(line: CallQueue, count: int, *, now: float = 0.0) -> list[str]:
     """Take places; gives where."""
     outcomes = [line.ask(ask(f"fill-{number}", now=now), now) for number in range(count)]
     return [outcome.target for outcome in outcomes if isinstance(outcome, CapacityGranted)]
 
 
-def crowd(line: CallLine, *, now: float = 0.0) -> None:
+def crowd(line: CallQueue, *, now: float = 0.0) -> None:
     """Let more ask than the runners can serve; all of them leave."""
     for number in range(40):
         line.ask(ask(f"crowd-{number}", now=now), now)
