--- a/lagoonlever/bench/call_places_model.py
+++ b/lagoonlever/bench/call_places_model.py
@@ -14,7 +14,7 @@
 
 import attrs
 
-from lagoonlever.decisions.admission.call_line import CallEnd, CallQueue, LineAsk
+from lagoonlever.decisions.admission.call_line import CallEnd, CallQueue, SlotRequest
 from lagoonlever.decisions.admission.room import (
     RejectedWithRetryAfter,
     CapacityRequest,
@@ -164,7 +164,7 @@
             repeatable=call.repeatable,
         )
         line.retain(self._alive())
-        outcome = line.ask(LineAsk(room=room), self._now)
+        outcome = line.ask(SlotRequest(room=room), self._now)
         self._tell(call, outcome)
         self._look()
 
--- a/lagoonlever/decisions/admission/call_line.py
+++ b/lagoonlever/decisions/admission/call_line.py
@@ -71,7 +71,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class LineAsk:
+class SlotRequest:
     """One attempt that wants a place; its ``request`` is unique to the attempt."""
 
     room: CapacityRequest
@@ -91,7 +91,7 @@
 
 @attrs.define(kw_only=True)
 class _Waiter:
-    ask: LineAsk
+    ask: SlotRequest
     number: int
     """Of the asks, by which the last ties are broken."""
     since: float
@@ -165,7 +165,7 @@
         if former is not None:
             self._runners[name] = LineRunner(name=name, data_center=former.data_center)
 
-    def ask(self, ask: LineAsk, now: float) -> CapacityOutcome:
+    def ask(self, ask: SlotRequest, now: float) -> CapacityOutcome:
         """Decide for an attempt; the same one may ask again, and is given one place at most."""
         request = ask.room.request
         given = self._given(request)
@@ -181,7 +181,7 @@
         return self._join(_Waiter(ask=ask, number=self._asked, since=now, renewed=now), now)
 
     def ask_second(
-        self, ask: LineAsk, *, first: str, now: float
+        self, ask: SlotRequest, *, first: str, now: float
     ) -> CapacityGranted | QueuedForCapacity:
         """Give a place for a second attempt if the runner of the first is in a bad state.
 
@@ -317,7 +317,7 @@
         del self._waiting[request]
         self._news.append(LineNews(request=request, outcome=outcome, waited_s=now - waiter.since))
 
-    def _best(self, ask: LineAsk, now: float, *, queued: int = 0) -> LineRunner | None:
+    def _best(self, ask: SlotRequest, now: float, *, queued: int = 0) -> LineRunner | None:
         """Give the runner at which the call ends first; near and idle ones on ties."""
         open_to = [each for each in self._runners.values() if each.name not in ask.avoid]
         free = [each for each in open_to if each.takes(now, work_s=self._work_s, queued=queued)]
@@ -327,7 +327,7 @@
         free = self._sound(free, repeatable=ask.room.repeatable)
         return min(free, key=lambda each: self._cost(each, ask, now), default=None)
 
-    def _cost(self, runner: LineRunner, ask: LineAsk, now: float) -> tuple[bool, int, float]:
+    def _cost(self, runner: LineRunner, ask: SlotRequest, now: float) -> tuple[bool, int, float]:
         late = runner.is_late(now, work_s=self._work_s)
         pace = round(runner.slowness(now) / PACE_STEP)
         near = NEAR_SLACK if ask.data_center == runner.data_center else 0.0
@@ -364,7 +364,7 @@
         ends_sooner = wait_s + slowest * self._work_s < pace * self._work_s
         return ends_sooner and now + wait_s <= waiter.ask.room.start_by
 
-    def _give(self, ask: LineAsk, runner: LineRunner, now: float) -> CapacityGranted:
+    def _give(self, ask: SlotRequest, runner: LineRunner, now: float) -> CapacityGranted:
         room = ask.room
         until = min(room.end_by, now + PLACE_KEPT_S)
         runner.give(Place(request=room.request, given_at=now, until=until))
@@ -384,7 +384,7 @@
         paces = [each.slowness(now) for each in self._runners.values()]
         return runner.slowness(now) > SLOWER * min(paces) or runner.free(now) < 0
 
-    def _refusal(self, ask: LineAsk, now: float) -> RejectedWithRetryAfter:
+    def _refusal(self, ask: SlotRequest, now: float) -> RejectedWithRetryAfter:
         """Refuse; those refused come back one after the other, once what is short is over."""
         if self._short_since is None:
             self._short_since = now
--- a/lagoonlever/peers/messages_calls.py
+++ b/lagoonlever/peers/messages_calls.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from lagoonlever.decisions.admission.call_line import CallEnd, LineAsk
+from lagoonlever.decisions.admission.call_line import CallEnd, SlotRequest
 from lagoonlever.decisions.admission.room import (
     RejectedWithRetryAfter,
     CapacityRequest,
@@ -41,7 +41,7 @@
     first: str | None = None
     """The runner of the first attempt, where this is for a second beside it."""
 
-    def line_ask(self, request: str, now: float) -> LineAsk:
+    def line_ask(self, request: str, now: float) -> SlotRequest:
         """Give the same by this VM's clock."""
         room = CapacityRequest(
             request=request,
@@ -52,7 +52,7 @@
             end_by=now + self.end_in_s,
             repeatable=self.repeatable,
         )
-        return LineAsk(room=room, data_center=self.data_center, avoid=frozenset(self.avoid))
+        return SlotRequest(room=room, data_center=self.data_center, avoid=frozenset(self.avoid))
 
 
 @PEER.message("ct")
--- a/lagoonlever/tests/call_line_machine_tests.py
+++ b/lagoonlever/tests/call_line_machine_tests.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from lagoonlever.decisions.admission.call_line import QUEUED, CallEnd, CallQueue, LineAsk
+from lagoonlever.decisions.admission.call_line import QUEUED, CallEnd, CallQueue, SlotRequest
 from lagoonlever.decisions.admission.room import (
     RejectedWithRetryAfter,
     CapacityRequest,
@@ -28,7 +28,7 @@
         super().__init__()
         self.now = 0.0
         self.line = CallQueue()
-        self.asks: dict[str, LineAsk] = {}
+        self.asks: dict[str, SlotRequest] = {}
         self.waiting: set[str] = set()
         self.given: dict[str, str] = {}
         self.over: set[str] = set()
@@ -52,7 +52,7 @@
             end_by=self.now + TIME_S,
             repeatable=repeatable,
         )
-        self.asks[request] = LineAsk(room=room)
+        self.asks[request] = SlotRequest(room=room)
         self.take(request, self.line.ask(self.asks[request], self.now))
         self.tick()
 
--- a/lagoonlever/tests/call_line_tests.py
+++ b/lagoonlever/tests/call_line_tests.py
@@ -8,7 +8,7 @@
     SILENT_S,
     CallEnd,
     CallQueue,
-    LineAsk,
+    SlotRequest,
 )
 from lagoonlever.decisions.admission.room import (
     RejectedWithRetryAfter,
@@ -33,7 +33,7 @@
     repeatable: bool = False,
     data_center: str = "",
     avoid: frozenset[str] = frozenset(),
-) -> LineAsk:
+) -> SlotRequest:
     room = CapacityRequest(
         request=name,
         service="apps",
@@ -43,7 +43,7 @@
         end_by=now + 1.5,
         repeatable=repeatable,
     )
-    return LineAsk(room=room, data_center=data_center, avoid=avoid)
+    return SlotRequest(room=room, data_center=data_center, avoid=avoid)
 
 
 def told(slowness: float = 1.0, *, running: float = 0, slots: float = 2) -> ToldLoad:
