--- a/lagoonlever/decisions/admission/call_line.py
+++ b/lagoonlever/decisions/admission/call_line.py
@@ -81,7 +81,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class LineNews:
+class QueueDecision:
     """What has been decided of an attempt that waited."""
 
     request: str
@@ -111,7 +111,7 @@
 
     _runners: dict[str, LineRunner] = attrs.field(factory=dict)
     _waiting: dict[str, _Waiter] = attrs.field(factory=dict)
-    _news: list[LineNews] = attrs.field(factory=list)
+    _news: list[QueueDecision] = attrs.field(factory=list)
     _work_s: float = FIRST_WORK_S
     _held_s: float = FIRST_WORK_S
     """What a call takes of a slot, with its way there and back, on a machine of the usual pace."""
@@ -230,7 +230,7 @@
         if load is not None:
             known.told(load, now, work_s=self._work_s)
 
-    def tick(self, now: float) -> tuple[LineNews, ...]:
+    def tick(self, now: float) -> tuple[QueueDecision, ...]:
         """Give out what is free; gives what was decided of those that wait."""
         self._expire(now)
         for waiter in list(self._waiting.values()):
@@ -315,7 +315,9 @@
     ) -> None:
         request = waiter.ask.room.request
         del self._waiting[request]
-        self._news.append(LineNews(request=request, outcome=outcome, waited_s=now - waiter.since))
+        self._news.append(
+            QueueDecision(request=request, outcome=outcome, waited_s=now - waiter.since)
+        )
 
     def _best(self, ask: SlotRequest, now: float, *, queued: int = 0) -> LineRunner | None:
         """Give the runner at which the call ends first; near and idle ones on ties."""
--- a/lagoonlever/gateway/call_desk.py
+++ b/lagoonlever/gateway/call_desk.py
@@ -8,7 +8,7 @@
 import logbook
 import trio
 
-from lagoonlever.decisions.admission.call_line import CallEnd, CallQueue, LineNews
+from lagoonlever.decisions.admission.call_line import CallEnd, CallQueue, QueueDecision
 from lagoonlever.decisions.admission.room import (
     RejectedWithRetryAfter,
     CapacityGranted,
@@ -161,7 +161,7 @@
         if not kept.line.waiting:
             kept.replies.clear()
 
-    def _log_news(self, kept: _Line, asked: PlaceAsk, news: LineNews, now: float) -> None:
+    def _log_news(self, kept: _Line, asked: PlaceAsk, news: QueueDecision, now: float) -> None:
         if isinstance(news.outcome, RejectedWithRetryAfter):
             self._log_refused(kept, asked.rank, news.outcome, now)
             return
@@ -193,5 +193,5 @@
     return f"{vm.name}/{vm.nonce}/{number}"
 
 
-def _target(news: LineNews) -> str:
+def _target(news: QueueDecision) -> str:
     return news.outcome.target if isinstance(news.outcome, CapacityGranted) else ""
