--- a/lagoonlever/decisions/admission/room_line.py
+++ b/lagoonlever/decisions/admission/room_line.py
@@ -116,7 +116,7 @@
 
 
 @attrs.define(kw_only=True)
-class RoomLine:
+class PromptQueue:
     """The prompts that wait for room at one service's engines."""
 
     _waiting: dict[PlaceInLine, Waiting] = attrs.field(factory=dict)
--- a/lagoonlever/gateway/room_desk.py
+++ b/lagoonlever/gateway/room_desk.py
@@ -21,7 +21,7 @@
     LEAST_RETURN_S,
     RENEWED_WITHIN_S,
     PlaceInLine,
-    RoomLine,
+    PromptQueue,
     Turn,
     Waiting,
 )
@@ -87,7 +87,7 @@
     _timers: TimerService
     _placer: Placer
     _tally: Tally
-    _lines: dict[str, RoomLine] = attrs.field(factory=dict)
+    _lines: dict[str, PromptQueue] = attrs.field(factory=dict)
     _open: dict[PlaceInLine, _Open] = attrs.field(factory=dict)
     _given: dict[PlaceInLine, _Given] = attrs.field(factory=dict)
     _filled: trio.Event = attrs.field(factory=trio.Event)
@@ -110,7 +110,7 @@
         if given is not None and now - given.at <= RENEWED_WITHIN_S:
             reply(given.told)
             return
-        line = self._lines.setdefault(service, RoomLine())
+        line = self._lines.setdefault(service, PromptQueue())
         is_new = line.ask(self._waiting(place, asked, now))
         if not is_new:
             self._tell_waiting(place, line)
@@ -167,7 +167,7 @@
         )
         return Waiting(place=place, ask=room, asked=now, heard=now, broken_off=need.broken_off)
 
-    def _serve(self, service: str, line: RoomLine) -> None:
+    def _serve(self, service: str, line: PromptQueue) -> None:
         """Give places to the first in line while engines are ready for them."""
         now = self._timers.now
         for silent in line.expire(now):
@@ -193,7 +193,7 @@
         if self._open:
             self._filled.set()
 
-    def _decide(self, ask: RunAsk, line: RoomLine) -> RunOutcome | NoRoom:
+    def _decide(self, ask: RunAsk, line: PromptQueue) -> RunOutcome | NoRoom:
         # Chance would only part those who do not know of each other: this VM places them all.
         ask, now = attrs.evolve(ask, crowd=False, allowed_s=None), self._timers.now
         view = self._placer.view(ask.service)
@@ -201,7 +201,7 @@
             return place_run(ask, view, now)
         return place_where_ready(ask, view, now)
 
-    def _give(self, waiting: Waiting, line: RoomLine, outcome: RunOutcome) -> None:
+    def _give(self, waiting: Waiting, line: PromptQueue, outcome: RunOutcome) -> None:
         """Tell a VM what was decided, and keep its place until it tells of the run."""
         now, place = self._timers.now, waiting.place
         question = self._open.pop(place)
@@ -216,7 +216,7 @@
         decided = PlacementTold.of(place.number, outcome, pace)
         self._answer(place, question, LineTold(number=place.number, decided=decided))
 
-    def _refuse(self, place: PlaceInLine, line: RoomLine) -> bool:
+    def _refuse(self, place: PlaceInLine, line: PromptQueue) -> bool:
         """Turn away a prompt that the line can't reach in its time."""
         question, now = self._open[place], self._timers.now
         ask = question.asked.ask
@@ -230,7 +230,7 @@
         return True
 
     def _turn_away(
-        self, place: PlaceInLine, line: RoomLine, refused: RejectedWithRetryAfter
+        self, place: PlaceInLine, line: PromptQueue, refused: RejectedWithRetryAfter
     ) -> None:
         question, waiting = self._open[place], len(line)
         ask = question.asked.ask
@@ -258,11 +258,11 @@
         self._given[place] = _Given(told=told, at=now)
         question.reply(told)
 
-    def _tell_waiting(self, place: PlaceInLine, line: RoomLine) -> None:
+    def _tell_waiting(self, place: PlaceInLine, line: PromptQueue) -> None:
         waits = QueuedForCapacity(seconds=RENEW_S, ahead=line.ahead_of(place))
         self._open[place].reply(LineTold(number=place.number, waits=waits))
 
-    def _log_queued(self, place: PlaceInLine, line: RoomLine) -> None:
+    def _log_queued(self, place: PlaceInLine, line: PromptQueue) -> None:
         asked, now = self._open[place].asked, self._timers.now
         view = self._placer.view(asked.ask.service)
         events.LINE_QUEUED.log(
@@ -275,7 +275,7 @@
             per_s=round(ready_rate(asked.ask.service, view, now), 1),
         )
 
-    def _tell_late(self, service: str, line: RoomLine) -> None:
+    def _tell_late(self, service: str, line: PromptQueue) -> None:
         """Tell once of each prompt that the line could not reach in its time."""
         now = self._timers.now
         for waiting in line.waiting:
@@ -292,7 +292,7 @@
                 waiting=len(line),
             )
 
-    def _log_begun(self, waiting: Waiting, line: RoomLine, placed: Placed) -> None:
+    def _log_begun(self, waiting: Waiting, line: PromptQueue, placed: Placed) -> None:
         now = self._timers.now
         at_once = now <= waiting.asked
         self._count(waiting.ask.service, waiting.ask.rank, "at-once" if at_once else "begun")
@@ -312,7 +312,7 @@
     def _count(self, service: str, rank: int, outcome: str) -> None:
         self._tally.add(metrics.LINE_OUTCOMES, service, str(rank), outcome)
 
-    def _measure(self, service: str, line: RoomLine) -> None:
+    def _measure(self, service: str, line: PromptQueue) -> None:
         """Tell the length and age of a line by rank; ranks that have gone are told as 0."""
         now = self._timers.now
         by_rank: dict[int, list[float]] = {}
--- a/lagoonlever/tests/room_line_machine_tests.py
+++ b/lagoonlever/tests/room_line_machine_tests.py
@@ -11,7 +11,7 @@
     OTHERS_FIRST,
     RENEWED_WITHIN_S,
     PlaceInLine,
-    RoomLine,
+    PromptQueue,
     Waiting,
 )
 
@@ -40,7 +40,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.now = 100.0
-        self.lines = [RoomLine(), RoomLine()]
+        self.lines = [PromptQueue(), PromptQueue()]
         self.askers: list[Asker] = []
         self.passed: dict[str, int] = {}
 
@@ -80,7 +80,7 @@
 
     @rule(keeper=st.integers(0, 1))
     def keeper_dies(self, keeper: int) -> None:
-        self.lines[keeper] = RoomLine()
+        self.lines[keeper] = PromptQueue()
         for asker in self.waiting:
             if asker.keeper == keeper:
                 asker.heard_at = None
@@ -150,7 +150,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.line = RoomLine()
+        self.line = PromptQueue()
         self.numbers = 0
         self.since_patient = 0
 
--- a/lagoonlever/tests/room_line_tests.py
+++ b/lagoonlever/tests/room_line_tests.py
@@ -8,7 +8,7 @@
     RENEWED_WITHIN_S,
     STALLED_S,
     PlaceInLine,
-    RoomLine,
+    PromptQueue,
     Waiting,
 )
 
@@ -41,18 +41,18 @@
     return Waiting(place=place, ask=ask, asked=at, heard=at, broken_off=broken)
 
 
-def line_of(*all_waiting: Waiting) -> RoomLine:
-    line = RoomLine()
+def line_of(*all_waiting: Waiting) -> PromptQueue:
+    line = PromptQueue()
     for each in all_waiting:
         line.ask(each)
     return line
 
 
-def order_of(line: RoomLine, now: float, *, per_s: float = FAST) -> list[str]:
+def order_of(line: PromptQueue, now: float, *, per_s: float = FAST) -> list[str]:
     return [each.ask.request for each in line.order(now, most_per_s=per_s)]
 
 
-def serve(line: RoomLine, now: float, *, per_s: float = FAST) -> Waiting:
+def serve(line: PromptQueue, now: float, *, per_s: float = FAST) -> Waiting:
     first = line.order(now, most_per_s=per_s)[0]
     line.given(first.place, now)
     return first
