--- a/lagoonlever/decisions/admission/room_line.py
+++ b/lagoonlever/decisions/admission/room_line.py
@@ -51,7 +51,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class PlaceInLine:
+class QueuedPromptId:
     """Whose place it is: the question of a VM."""
 
     vm: str
@@ -62,7 +62,7 @@
 class Waiting:
     """One prompt in line; times are seconds of this VM's monotonic clock."""
 
-    place: PlaceInLine
+    place: QueuedPromptId
     ask: CapacityRequest
     asked: float
     heard: float
@@ -119,16 +119,16 @@
 class PromptQueue:
     """The prompts that wait for room at one service's engines."""
 
-    _waiting: dict[PlaceInLine, Waiting] = attrs.field(factory=dict)
+    _waiting: dict[QueuedPromptId, Waiting] = attrs.field(factory=dict)
     _rate: LineRate = attrs.field(factory=LineRate)
-    _ahead: dict[PlaceInLine, int] = attrs.field(factory=dict)
+    _ahead: dict[QueuedPromptId, int] = attrs.field(factory=dict)
     _passed: int = 0
     """Places given past those who wait behind a more urgent kind, one after the other."""
 
     def __len__(self) -> int:
         return len(self._waiting)
 
-    def __contains__(self, place: PlaceInLine) -> bool:
+    def __contains__(self, place: QueuedPromptId) -> bool:
         return place in self._waiting
 
     @property
@@ -149,7 +149,7 @@
         self._rate.busy(asked.heard)
         return True
 
-    def leave(self, place: PlaceInLine) -> None:
+    def leave(self, place: QueuedPromptId) -> None:
         """Take out a prompt that is wanted no more."""
         self._waiting.pop(place, None)
         if not self._waiting:
@@ -183,7 +183,7 @@
         self._ahead = {w.place: number for number, w in enumerate(ordered)}
         return ordered
 
-    def given(self, place: PlaceInLine, now: float) -> None:
+    def given(self, place: QueuedPromptId, now: float) -> None:
         """Note that a prompt has got a place, and take it out."""
         behind = self._behind(now)
         passes = bool(behind) and all(w.place != place for w in behind)
@@ -197,7 +197,7 @@
         return self._rate.idle_s(now) >= longest_s
 
     def refusal(
-        self, place: PlaceInLine, now: float, *, most_per_s: float
+        self, place: QueuedPromptId, now: float, *, most_per_s: float
     ) -> RejectedWithRetryAfter | None:
         """Give why the line can't reach a prompt in its time, and when there will be room.
 
@@ -217,7 +217,7 @@
             retry_after_s=min(longest_s, max(LEAST_RETURN_S, len(ordered) / per_s)),
         )
 
-    def ahead_of(self, place: PlaceInLine) -> int:
+    def ahead_of(self, place: QueuedPromptId) -> int:
         """Count those who went before a prompt when the order was last worked out."""
         return self._ahead.get(place, 0)
 
--- a/lagoonlever/gateway/room_asker.py
+++ b/lagoonlever/gateway/room_asker.py
@@ -16,7 +16,7 @@
 import trio
 
 from lagoonlever.decisions.admission.room import RejectedWithRetryAfter
-from lagoonlever.decisions.admission.room_line import PlaceInLine
+from lagoonlever.decisions.admission.room_line import QueuedPromptId
 from lagoonlever.decisions.fleet.queue_coordinators import (
     MAX_COORDINATORS_ASKED,
     queue_coordinators,
@@ -195,7 +195,7 @@
         """Tell the keeper that the question is open no more, as its caller has gone."""
         service = question.ask.service
         if question.keeper == self._vm:
-            self._desk.left(PlaceInLine(vm=self._vm, number=number), service)
+            self._desk.left(QueuedPromptId(vm=self._vm, number=number), service)
             return
         state = self._beliefs.fellows.find(question.keeper)
         if state is not None:
--- a/lagoonlever/gateway/room_desk.py
+++ b/lagoonlever/gateway/room_desk.py
@@ -20,7 +20,7 @@
 from lagoonlever.decisions.admission.room_line import (
     LEAST_RETURN_S,
     RENEWED_WITHIN_S,
-    PlaceInLine,
+    QueuedPromptId,
     PromptQueue,
     Turn,
     Waiting,
@@ -88,8 +88,8 @@
     _placer: Placer
     _tally: Tally
     _lines: dict[str, PromptQueue] = attrs.field(factory=dict)
-    _open: dict[PlaceInLine, _Open] = attrs.field(factory=dict)
-    _given: dict[PlaceInLine, _Given] = attrs.field(factory=dict)
+    _open: dict[QueuedPromptId, _Open] = attrs.field(factory=dict)
+    _given: dict[QueuedPromptId, _Given] = attrs.field(factory=dict)
     _filled: trio.Event = attrs.field(factory=trio.Event)
     _ranks_told: set[int] = attrs.field(factory=set)
 
@@ -105,7 +105,7 @@
         if not self._beliefs.known.is_set():
             return
         now, service = self._timers.now, asked.ask.service
-        place = PlaceInLine(vm=vm, number=asked.number)
+        place = QueuedPromptId(vm=vm, number=asked.number)
         given = self._given.get(place)
         if given is not None and now - given.at <= RENEWED_WITHIN_S:
             reply(given.told)
@@ -121,7 +121,7 @@
             self._tell_waiting(place, line)
             self._log_queued(place, line)
 
-    def left(self, place: PlaceInLine, service: str) -> None:
+    def left(self, place: QueuedPromptId, service: str) -> None:
         """Drop a question that is open no more."""
         self._open.pop(place, None)
         line = self._lines.get(service)
@@ -138,7 +138,7 @@
 
     async def _receive_left(self) -> None:
         async for received in self._bus.subscribe(LineLeft):
-            place = PlaceInLine(vm=received.sender.name, number=received.message.number)
+            place = QueuedPromptId(vm=received.sender.name, number=received.message.number)
             self.left(place, received.message.service)
 
     async def _look(self) -> None:
@@ -152,7 +152,7 @@
                 await self._filled.wait()
             await trio.sleep(LOOK_S)
 
-    def _waiting(self, place: PlaceInLine, asked: LineAsk, now: float) -> Waiting:
+    def _waiting(self, place: QueuedPromptId, asked: LineAsk, now: float) -> Waiting:
         """Translate a question's durations into times of this VM's clock."""
         need, ask = asked.need, asked.ask
         reading_s = self._beliefs.book.paces.reading_s(ask.service, "", ask.prompt_tokens, now)
@@ -216,7 +216,7 @@
         decided = PlacementTold.of(place.number, outcome, pace)
         self._answer(place, question, LineTold(number=place.number, decided=decided))
 
-    def _refuse(self, place: PlaceInLine, line: PromptQueue) -> bool:
+    def _refuse(self, place: QueuedPromptId, line: PromptQueue) -> bool:
         """Turn away a prompt that the line can't reach in its time."""
         question, now = self._open[place], self._timers.now
         ask = question.asked.ask
@@ -230,7 +230,7 @@
         return True
 
     def _turn_away(
-        self, place: PlaceInLine, line: PromptQueue, refused: RejectedWithRetryAfter
+        self, place: QueuedPromptId, line: PromptQueue, refused: RejectedWithRetryAfter
     ) -> None:
         question, waiting = self._open[place], len(line)
         ask = question.asked.ask
@@ -248,7 +248,7 @@
             seconds=round(refused.retry_after_s, 2),
         )
 
-    def _answer(self, place: PlaceInLine, question: _Open, told: LineTold) -> None:
+    def _answer(self, place: QueuedPromptId, question: _Open, told: LineTold) -> None:
         """Tell the last of a question, and keep it for as long as it may be asked again."""
         now = self._timers.now
         for former, given in list(self._given.items()):
@@ -258,11 +258,11 @@
         self._given[place] = _Given(told=told, at=now)
         question.reply(told)
 
-    def _tell_waiting(self, place: PlaceInLine, line: PromptQueue) -> None:
+    def _tell_waiting(self, place: QueuedPromptId, line: PromptQueue) -> None:
         waits = QueuedForCapacity(seconds=RENEW_S, ahead=line.ahead_of(place))
         self._open[place].reply(LineTold(number=place.number, waits=waits))
 
-    def _log_queued(self, place: PlaceInLine, line: PromptQueue) -> None:
+    def _log_queued(self, place: QueuedPromptId, line: PromptQueue) -> None:
         asked, now = self._open[place].asked, self._timers.now
         view = self._placer.view(asked.ask.service)
         events.LINE_QUEUED.log(
--- a/lagoonlever/tests/room_line_machine_tests.py
+++ b/lagoonlever/tests/room_line_machine_tests.py
@@ -10,7 +10,7 @@
 from lagoonlever.decisions.admission.room_line import (
     OTHERS_FIRST,
     RENEWED_WITHIN_S,
-    PlaceInLine,
+    QueuedPromptId,
     PromptQueue,
     Waiting,
 )
@@ -44,8 +44,8 @@
         self.askers: list[Asker] = []
         self.passed: dict[str, int] = {}
 
-    def place_of(self, asker: Asker) -> PlaceInLine:
-        return PlaceInLine(vm=asker.request, number=asker.question)
+    def place_of(self, asker: Asker) -> QueuedPromptId:
+        return QueuedPromptId(vm=asker.request, number=asker.question)
 
     @property
     def waiting(self) -> list[Asker]:
@@ -157,7 +157,7 @@
     @rule(rank=st.sampled_from([0, 0, 0, 2]))
     def arrive(self, rank: int) -> None:
         self.numbers += 1
-        place = PlaceInLine(vm="vm", number=self.numbers)
+        place = QueuedPromptId(vm="vm", number=self.numbers)
         aim_s = AIMS_S[rank]
         ask = CapacityRequest(
             request=f"r{self.numbers:05}",
--- a/lagoonlever/tests/room_line_tests.py
+++ b/lagoonlever/tests/room_line_tests.py
@@ -7,7 +7,7 @@
     OTHERS_FIRST,
     RENEWED_WITHIN_S,
     STALLED_S,
-    PlaceInLine,
+    QueuedPromptId,
     PromptQueue,
     Waiting,
 )
@@ -37,7 +37,7 @@
         start_by=came + aim_s - READING_S,
         end_by=came + CALLER_S - READING_S,
     )
-    place = PlaceInLine(vm=f"vm-{number}", number=number)
+    place = QueuedPromptId(vm=f"vm-{number}", number=number)
     return Waiting(place=place, ask=ask, asked=at, heard=at, broken_off=broken)
 
 
@@ -103,14 +103,14 @@
 def test_one_that_the_line_reaches_in_time_is_not_refused() -> None:
     """Guards against refusals of patient callers that engines could have read in time."""
     line = line_of(*(waiting(n) for n in range(100)))
-    last = PlaceInLine(vm="vm-99", number=99)
+    last = QueuedPromptId(vm="vm-99", number=99)
     assert line.refusal(last, 0.0, most_per_s=FAST) is None
 
 
 def test_one_that_the_line_cannot_reach_is_told_when_to_come_back() -> None:
     """Guards against callers who wait for seconds for a refusal that was known at once."""
     line = line_of(*(waiting(n) for n in range(100)))
-    last = PlaceInLine(vm="vm-99", number=99)
+    last = QueuedPromptId(vm="vm-99", number=99)
     refused = line.refusal(last, 0.0, most_per_s=SLOW)
     assert refused is not None
     assert 0.5 <= refused.retry_after_s <= CALLER_S / 3
@@ -119,13 +119,13 @@
 def test_an_urgent_one_is_not_refused_for_the_patient_before_it() -> None:
     """Guards against a length of line that is told to those who would go first."""
     line = line_of(*(waiting(n) for n in range(100)), waiting(200, rank=0))
-    assert line.refusal(PlaceInLine(vm="vm-200", number=200), 0.0, most_per_s=SLOW) is None
+    assert line.refusal(QueuedPromptId(vm="vm-200", number=200), 0.0, most_per_s=SLOW) is None
 
 
 def test_nobody_is_refused_where_nobody_waits() -> None:
     """Guards against a refusal while the next engine that is ready would be the caller's."""
     line = line_of(waiting(1, rank=0, arrived=-6.0, at=0.0))
-    place = PlaceInLine(vm="vm-1", number=1)
+    place = QueuedPromptId(vm="vm-1", number=1)
     assert line.refusal(place, 0.0, most_per_s=SLOW) is None
 
 
@@ -168,7 +168,7 @@
     line = line_of(waiting(1), waiting(2))
     assert not line.is_stalled(STALLED_S - 0.1, most_per_s=FAST)
     assert line.is_stalled(STALLED_S, most_per_s=FAST)
-    line.given(PlaceInLine(vm="vm-1", number=1), STALLED_S)
+    line.given(QueuedPromptId(vm="vm-1", number=1), STALLED_S)
     assert not line.is_stalled(STALLED_S + 0.5, most_per_s=FAST)
 
 
