--- a/lagoonlever/decisions/admission/room_line.py
+++ b/lagoonlever/decisions/admission/room_line.py
@@ -59,7 +59,7 @@
 
 
 @attrs.define(kw_only=True)
-class Waiting:
+class QueuedPrompt:
     """One prompt in line; times are seconds of this VM's monotonic clock."""
 
     place: QueuedPromptId
@@ -119,7 +119,7 @@
 class PromptQueue:
     """The prompts that wait for room at one service's engines."""
 
-    _waiting: dict[QueuedPromptId, Waiting] = attrs.field(factory=dict)
+    _waiting: dict[QueuedPromptId, QueuedPrompt] = attrs.field(factory=dict)
     _rate: LineRate = attrs.field(factory=LineRate)
     _ahead: dict[QueuedPromptId, int] = attrs.field(factory=dict)
     _passed: int = 0
@@ -132,11 +132,11 @@
         return place in self._waiting
 
     @property
-    def waiting(self) -> tuple[Waiting, ...]:
+    def waiting(self) -> tuple[QueuedPrompt, ...]:
         """Who waits, in no order."""
         return tuple(self._waiting.values())
 
-    def ask(self, asked: Waiting) -> bool:
+    def ask(self, asked: QueuedPrompt) -> bool:
         """Take a prompt into the line, or note that its VM still wants it; tells if it is new.
 
         The first figures of its times stay: those of a later message may have been under way.
@@ -155,18 +155,18 @@
         if not self._waiting:
             self._rate.empty()
 
-    def expire(self, now: float) -> tuple[Waiting, ...]:
+    def expire(self, now: float) -> tuple[QueuedPrompt, ...]:
         """Take out, and give, those whose VM was not heard of late."""
         silent = tuple(w for w in self._waiting.values() if now - w.heard > RENEWED_WITHIN_S)
         for waiting in silent:
             self.leave(waiting.place)
         return silent
 
-    def hopeless(self, now: float) -> tuple[Waiting, ...]:
+    def hopeless(self, now: float) -> tuple[QueuedPrompt, ...]:
         """Give those that could not end in their callers' time any more."""
         return tuple(w for w in self._waiting.values() if now > w.ask.end_by)
 
-    def order(self, now: float, *, most_per_s: float) -> list[Waiting]:
+    def order(self, now: float, *, most_per_s: float) -> list[QueuedPrompt]:
         """Give all who wait, the next one first; ``most_per_s`` is what engines can read."""
         in_time = [w for w in self._waiting.values() if w.turn(now) is Turn.IN_TIME]
         in_time.sort(key=lambda w: (w.ask.start_by, w.ask.rank, w.ask.request))
@@ -221,11 +221,11 @@
         """Count those who went before a prompt when the order was last worked out."""
         return self._ahead.get(place, 0)
 
-    def _reaches_all(self, ordered: list[Waiting], now: float, most_per_s: float) -> bool:
+    def _reaches_all(self, ordered: list[QueuedPrompt], now: float, most_per_s: float) -> bool:
         per_s = self._rate.per_s(now, most=most_per_s)
         return all(now + n / per_s <= w.ask.start_by for n, w in enumerate(ordered))
 
-    def _behind(self, now: float) -> list[Waiting]:
+    def _behind(self, now: float) -> list[QueuedPrompt]:
         """Give those who wait behind a more urgent kind, but those who are late."""
         kinds = {w.place: (w.turn(now), w.ask.rank) for w in self._waiting.values()}
         if not kinds:
--- a/lagoonlever/gateway/room_desk.py
+++ b/lagoonlever/gateway/room_desk.py
@@ -23,7 +23,7 @@
     QueuedPromptId,
     PromptQueue,
     Turn,
-    Waiting,
+    QueuedPrompt,
 )
 from lagoonlever.decisions.streams.run_placement import (
     BEGINS_WITHIN_S,
@@ -152,7 +152,7 @@
                 await self._filled.wait()
             await trio.sleep(LOOK_S)
 
-    def _waiting(self, place: QueuedPromptId, asked: LineAsk, now: float) -> Waiting:
+    def _waiting(self, place: QueuedPromptId, asked: LineAsk, now: float) -> QueuedPrompt:
         """Translate a question's durations into times of this VM's clock."""
         need, ask = asked.need, asked.ask
         reading_s = self._beliefs.book.paces.reading_s(ask.service, "", ask.prompt_tokens, now)
@@ -165,7 +165,7 @@
             start_by=now + need.first_event_in_s - reading_s - LEAD_S,
             end_by=now + need.end_in_s - reading_s - making_s,
         )
-        return Waiting(place=place, ask=room, asked=now, heard=now, broken_off=need.broken_off)
+        return QueuedPrompt(place=place, ask=room, asked=now, heard=now, broken_off=need.broken_off)
 
     def _serve(self, service: str, line: PromptQueue) -> None:
         """Give places to the first in line while engines are ready for them."""
@@ -201,7 +201,7 @@
             return place_run(ask, view, now)
         return place_where_ready(ask, view, now)
 
-    def _give(self, waiting: Waiting, line: PromptQueue, outcome: RunOutcome) -> None:
+    def _give(self, waiting: QueuedPrompt, line: PromptQueue, outcome: RunOutcome) -> None:
         """Tell a VM what was decided, and keep its place until it tells of the run."""
         now, place = self._timers.now, waiting.place
         question = self._open.pop(place)
@@ -292,7 +292,7 @@
                 waiting=len(line),
             )
 
-    def _log_begun(self, waiting: Waiting, line: PromptQueue, placed: Placed) -> None:
+    def _log_begun(self, waiting: QueuedPrompt, line: PromptQueue, placed: Placed) -> None:
         now = self._timers.now
         at_once = now <= waiting.asked
         self._count(waiting.ask.service, waiting.ask.rank, "at-once" if at_once else "begun")
--- a/lagoonlever/tests/room_line_machine_tests.py
+++ b/lagoonlever/tests/room_line_machine_tests.py
@@ -12,7 +12,7 @@
     RENEWED_WITHIN_S,
     QueuedPromptId,
     PromptQueue,
-    Waiting,
+    QueuedPrompt,
 )
 
 PER_S = 2.0
@@ -118,7 +118,7 @@
             line.expire(self.now)
             assert all(self.now - w.heard <= RENEWED_WITHIN_S for w in line.waiting)
 
-    def _check_order(self, ordered: list[Waiting]) -> None:
+    def _check_order(self, ordered: list[QueuedPrompt]) -> None:
         """Within a rank, of those that can be on time, who must start sooner goes first."""
         first = ordered[0]
         kind = (first.turn(self.now), first.ask.rank)
@@ -141,7 +141,7 @@
         )
         place = self.place_of(asker)
         line = self.lines[asker.keeper]
-        line.ask(Waiting(place=place, ask=room, asked=self.now, heard=self.now))
+        line.ask(QueuedPrompt(place=place, ask=room, asked=self.now, heard=self.now))
         asker.heard_at = self.now
 
 
@@ -167,7 +167,7 @@
             start_by=aim_s,
             end_by=CALLER_S,
         )
-        self.line.ask(Waiting(place=place, ask=ask, asked=0.0, heard=0.0))
+        self.line.ask(QueuedPrompt(place=place, ask=ask, asked=0.0, heard=0.0))
 
     @rule()
     def engine_is_ready(self) -> None:
--- a/lagoonlever/tests/room_line_tests.py
+++ b/lagoonlever/tests/room_line_tests.py
@@ -9,7 +9,7 @@
     STALLED_S,
     QueuedPromptId,
     PromptQueue,
-    Waiting,
+    QueuedPrompt,
 )
 
 URGENT_S, PATIENT_S = 4.0, 10.0
@@ -26,7 +26,7 @@
     at: float = 0.0,
     arrived: float | None = None,
     broken: bool = False,
-) -> Waiting:
+) -> QueuedPrompt:
     came = at if arrived is None else arrived
     aim_s = URGENT_S if rank == 0 else PATIENT_S
     ask = CapacityRequest(
@@ -38,10 +38,10 @@
         end_by=came + CALLER_S - READING_S,
     )
     place = QueuedPromptId(vm=f"vm-{number}", number=number)
-    return Waiting(place=place, ask=ask, asked=at, heard=at, broken_off=broken)
+    return QueuedPrompt(place=place, ask=ask, asked=at, heard=at, broken_off=broken)
 
 
-def line_of(*all_waiting: Waiting) -> PromptQueue:
+def line_of(*all_waiting: QueuedPrompt) -> PromptQueue:
     line = PromptQueue()
     for each in all_waiting:
         line.ask(each)
@@ -52,7 +52,7 @@
     return [each.ask.request for each in line.order(now, most_per_s=per_s)]
 
 
-def serve(line: PromptQueue, now: float, *, per_s: float = FAST) -> Waiting:
+def serve(line: PromptQueue, now: float, *, per_s: float = FAST) -> QueuedPrompt:
     first = line.order(now, most_per_s=per_s)[0]
     line.given(first.place, now)
     return first
