--- a/lagoonlever/decisions/admission/room_line.py
+++ b/lagoonlever/decisions/admission/room_line.py
@@ -41,7 +41,7 @@
 """Of the caller's time that is left; by then an answer still has time to be made."""
 
 
-class Turn(enum.IntEnum):
+class PriorityClass(enum.IntEnum):
     """What goes before what."""
 
     IN_TIME = 0
@@ -69,11 +69,11 @@
     """When its VM last asked for it."""
     broken_off: bool = False
 
-    def turn(self, now: float) -> Turn:
+    def turn(self, now: float) -> PriorityClass:
         """Tell what it goes before."""
         if self.broken_off:
-            return Turn.BROKEN_OFF
-        return Turn.IN_TIME if now <= self.ask.start_by else Turn.LATE
+            return PriorityClass.BROKEN_OFF
+        return PriorityClass.IN_TIME if now <= self.ask.start_by else PriorityClass.LATE
 
 
 @attrs.define(kw_only=True)
@@ -168,11 +168,11 @@
 
     def order(self, now: float, *, most_per_s: float) -> list[QueuedPrompt]:
         """Give all who wait, the next one first; ``most_per_s`` is what engines can read."""
-        in_time = [w for w in self._waiting.values() if w.turn(now) is Turn.IN_TIME]
+        in_time = [w for w in self._waiting.values() if w.turn(now) is PriorityClass.IN_TIME]
         in_time.sort(key=lambda w: (w.ask.start_by, w.ask.rank, w.ask.request))
         if not self._reaches_all(in_time, now, most_per_s):
             in_time.sort(key=lambda w: w.ask.rank)
-        others = [w for w in self._waiting.values() if w.turn(now) is not Turn.IN_TIME]
+        others = [w for w in self._waiting.values() if w.turn(now) is not PriorityClass.IN_TIME]
         others.sort(key=lambda w: (w.turn(now), w.ask.rank, w.ask.arrived, w.ask.request))
         ordered = in_time + others
         behind = self._behind(now) if self._passed >= OTHERS_FIRST else []
@@ -207,7 +207,7 @@
         ordered = self.order(now, most_per_s=most_per_s)
         per_s = self._rate.per_s(now, most=most_per_s)
         ahead = ordered.index(waiting)
-        in_time = waiting.turn(now) is Turn.IN_TIME
+        in_time = waiting.turn(now) is PriorityClass.IN_TIME
         start_by = waiting.ask.start_by if in_time else waiting.ask.end_by
         if now + SURELY * ahead / per_s <= start_by:
             return None
@@ -234,7 +234,7 @@
         return [
             w
             for w in self._waiting.values()
-            if kinds[w.place] > first and kinds[w.place][0] is not Turn.LATE
+            if kinds[w.place] > first and kinds[w.place][0] is not PriorityClass.LATE
         ]
 
 
--- a/lagoonlever/gateway/room_desk.py
+++ b/lagoonlever/gateway/room_desk.py
@@ -22,7 +22,7 @@
     RENEWED_WITHIN_S,
     QueuedPromptId,
     PromptQueue,
-    Turn,
+    PriorityClass,
     QueuedPrompt,
 )
 from lagoonlever.decisions.streams.run_placement import (
@@ -217,7 +217,7 @@
         self._answer(place, question, LineTold(number=place.number, decided=decided))
 
     def _refuse(self, place: QueuedPromptId, line: PromptQueue) -> bool:
-        """Turn away a prompt that the line can't reach in its time."""
+        """PriorityClass away a prompt that the line can't reach in its time."""
         question, now = self._open[place], self._timers.now
         ask = question.asked.ask
         if not question.asked.need.refusable:
@@ -280,7 +280,7 @@
         now = self._timers.now
         for waiting in line.waiting:
             question = self._open[waiting.place]
-            if question.told_late or waiting.turn(now) is not Turn.LATE:
+            if question.told_late or waiting.turn(now) is not PriorityClass.LATE:
                 continue
             question.told_late = True
             events.LINE_PASSED_BY.log(
