--- a/lagoonlever/bench/call_places_model.py
+++ b/lagoonlever/bench/call_places_model.py
@@ -15,7 +15,7 @@
 import attrs
 
 from lagoonlever.decisions.admission.call_line import CallEnd, CallQueue, SlotRequest
-from lagoonlever.decisions.admission.room import (
+from lagoonlever.decisions.admission.capacity import (
     RejectedWithRetryAfter,
     CapacityRequest,
     CapacityGranted,
--- a/lagoonlever/decisions/admission/call_line.py
+++ b/lagoonlever/decisions/admission/call_line.py
@@ -15,7 +15,7 @@
 import attrs
 
 from lagoonlever.decisions.admission.line_runner import PLACE_KEPT_S, LineRunner, Place
-from lagoonlever.decisions.admission.room import (
+from lagoonlever.decisions.admission.capacity import (
     RejectedWithRetryAfter,
     CapacityRequest,
     CapacityGranted,
--- a/lagoonlever/decisions/admission/room_line.py
+++ b/lagoonlever/decisions/admission/room_line.py
@@ -19,7 +19,7 @@
 
 import attrs
 
-from lagoonlever.decisions.admission.room import RejectedWithRetryAfter, CapacityRequest
+from lagoonlever.decisions.admission.capacity import RejectedWithRetryAfter, CapacityRequest
 
 RENEWED_WITHIN_S = 0.75
 """A prompt that its VM has not asked for again within this time is dropped."""
--- a/lagoonlever/gateway/attempt_planner.py
+++ b/lagoonlever/gateway/attempt_planner.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from lagoonlever.decisions.admission.room import RejectedWithRetryAfter
+from lagoonlever.decisions.admission.capacity import RejectedWithRetryAfter
 from lagoonlever.decisions.streams.booked_runs import BookedRun, RunCopy
 from lagoonlever.decisions.streams.life import Place, ResumeFrom, StreamLife
 from lagoonlever.decisions.streams.run_placement import (
--- a/lagoonlever/gateway/call_desk.py
+++ b/lagoonlever/gateway/call_desk.py
@@ -9,7 +9,7 @@
 import trio
 
 from lagoonlever.decisions.admission.call_line import CallEnd, CallQueue, QueueDecision
-from lagoonlever.decisions.admission.room import (
+from lagoonlever.decisions.admission.capacity import (
     RejectedWithRetryAfter,
     CapacityGranted,
     CapacityOutcome,
--- a/lagoonlever/gateway/call_exchange.py
+++ b/lagoonlever/gateway/call_exchange.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from lagoonlever.decisions.admission.room import RejectedWithRetryAfter
+from lagoonlever.decisions.admission.capacity import RejectedWithRetryAfter
 from lagoonlever.decisions.rollouts.book import Lane
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS, gives
 from lagoonlever.decisions.targets.limit_permits import Denied, need_of
--- a/lagoonlever/gateway/call_places.py
+++ b/lagoonlever/gateway/call_places.py
@@ -14,7 +14,7 @@
 import trio
 
 from lagoonlever.decisions.admission.call_line import RENEW_S, CallEnd
-from lagoonlever.decisions.admission.room import (
+from lagoonlever.decisions.admission.capacity import (
     RejectedWithRetryAfter,
     CapacityGranted,
     QueuedForCapacity,
--- a/lagoonlever/gateway/once_calls.py
+++ b/lagoonlever/gateway/once_calls.py
@@ -7,7 +7,7 @@
 import attrs
 import trio
 
-from lagoonlever.decisions.admission.room import RejectedWithRetryAfter
+from lagoonlever.decisions.admission.capacity import RejectedWithRetryAfter
 from lagoonlever.decisions.admission.runners import Runners
 from lagoonlever.decisions.targets.listed_target import ListedTarget
 from lagoonlever.gateway.accepted import Accepted
--- a/lagoonlever/gateway/repeatable_calls.py
+++ b/lagoonlever/gateway/repeatable_calls.py
@@ -7,7 +7,7 @@
 
 from lagoonlever.decisions.admission.hedging import HedgedCall, HedgeDelay, Send, Stop, Wait
 from lagoonlever.decisions.admission.retry_window import RetryWindow
-from lagoonlever.decisions.admission.room import RejectedWithRetryAfter
+from lagoonlever.decisions.admission.capacity import RejectedWithRetryAfter
 from lagoonlever.decisions.admission.runners import Runners
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS, gives
 from lagoonlever.decisions.shares.budgets import RetryBudget
--- a/lagoonlever/gateway/room_asker.py
+++ b/lagoonlever/gateway/room_asker.py
@@ -15,7 +15,7 @@
 import logbook
 import trio
 
-from lagoonlever.decisions.admission.room import RejectedWithRetryAfter
+from lagoonlever.decisions.admission.capacity import RejectedWithRetryAfter
 from lagoonlever.decisions.admission.room_line import QueuedPromptId
 from lagoonlever.decisions.fleet.queue_coordinators import (
     MAX_COORDINATORS_ASKED,
--- a/lagoonlever/gateway/room_desk.py
+++ b/lagoonlever/gateway/room_desk.py
@@ -12,7 +12,7 @@
 import logbook
 import trio
 
-from lagoonlever.decisions.admission.room import (
+from lagoonlever.decisions.admission.capacity import (
     RejectedWithRetryAfter,
     CapacityRequest,
     QueuedForCapacity,
--- a/lagoonlever/gateway/stream_admission.py
+++ b/lagoonlever/gateway/stream_admission.py
@@ -8,7 +8,7 @@
 import logbook
 
 from lagoonlever.decisions.admission.prompt_admission import come_back_s
-from lagoonlever.decisions.admission.room import RejectedWithRetryAfter
+from lagoonlever.decisions.admission.capacity import RejectedWithRetryAfter
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS, gives
 from lagoonlever.decisions.streams.life import (
     GiveUp,
--- a/lagoonlever/gateway/streams.py
+++ b/lagoonlever/gateway/streams.py
@@ -6,7 +6,7 @@
 import logbook
 import trio
 
-from lagoonlever.decisions.admission.room import RejectedWithRetryAfter
+from lagoonlever.decisions.admission.capacity import RejectedWithRetryAfter
 from lagoonlever.decisions.streams.booked_runs import BookedRun, RunCopy
 from lagoonlever.decisions.streams.life import GiveUp, StreamLife, WaitForEngine
 from lagoonlever.decisions.streams.run_placement import BudgetSpent, Overloaded
--- a/lagoonlever/tests/call_line_machine_tests.py
+++ b/lagoonlever/tests/call_line_machine_tests.py
@@ -6,7 +6,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from lagoonlever.decisions.admission.call_line import QUEUED, CallEnd, CallQueue, SlotRequest
-from lagoonlever.decisions.admission.room import (
+from lagoonlever.decisions.admission.capacity import (
     RejectedWithRetryAfter,
     CapacityRequest,
     CapacityGranted,
--- a/lagoonlever/tests/call_line_tests.py
+++ b/lagoonlever/tests/call_line_tests.py
@@ -10,7 +10,7 @@
     CallQueue,
     SlotRequest,
 )
-from lagoonlever.decisions.admission.room import (
+from lagoonlever.decisions.admission.capacity import (
     RejectedWithRetryAfter,
     CapacityRequest,
     CapacityGranted,
--- a/lagoonlever/tests/call_places_tests.py
+++ b/lagoonlever/tests/call_places_tests.py
@@ -11,7 +11,7 @@
 
 from lagoonlever.bench.local_fleet import Fleet, FleetVm, run_fleet, start_many
 from lagoonlever.decisions.admission.call_line import QUEUED
-from lagoonlever.decisions.admission.room import RejectedWithRetryAfter
+from lagoonlever.decisions.admission.capacity import RejectedWithRetryAfter
 from lagoonlever.decisions.settings.configuration import RouteKind, ServiceRoute
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS
 from lagoonlever.decisions.targets.call_desks import RUNNERS_A_DESK, desks_of, groups_of
--- a/lagoonlever/tests/room_line_load_tests.py
+++ b/lagoonlever/tests/room_line_load_tests.py
@@ -11,7 +11,7 @@
 
 from lagoonlever.bench.local_fleet import Fleet, run_fleet, start_many
 from lagoonlever.bench.placing_fleet import MEMORY, PROMPT, SERVICE, PlacingVm, placing_fleet
-from lagoonlever.decisions.admission.room import RejectedWithRetryAfter
+from lagoonlever.decisions.admission.capacity import RejectedWithRetryAfter
 from lagoonlever.decisions.streams.run_placement import Placed, RunAsk
 from lagoonlever.peers.messages_gateway import RunEnded
 from lagoonlever.peers.messages_line import LineNeed
--- a/lagoonlever/tests/room_line_machine_tests.py
+++ b/lagoonlever/tests/room_line_machine_tests.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from lagoonlever.decisions.admission.room import CapacityRequest
+from lagoonlever.decisions.admission.capacity import CapacityRequest
 from lagoonlever.decisions.admission.room_line import (
     OTHERS_FIRST,
     RENEWED_WITHIN_S,
--- a/lagoonlever/tests/room_line_tests.py
+++ b/lagoonlever/tests/room_line_tests.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from lagoonlever.decisions.admission.room import CapacityRequest
+from lagoonlever.decisions.admission.capacity import CapacityRequest
 from lagoonlever.decisions.admission.room_line import (
     OTHERS_FIRST,
     RENEWED_WITHIN_S,
