--- a/lagoonlever/bench/call_places_model.py
+++ b/lagoonlever/bench/call_places_model.py
@@ -14,7 +14,7 @@
 
 import attrs
 
-from lagoonlever.decisions.admission.call_line import CallEnd, CallQueue, SlotRequest
+from lagoonlever.decisions.admission.call_queue import CallEnd, CallQueue, SlotRequest
 from lagoonlever.decisions.admission.capacity import (
     RejectedWithRetryAfter,
     CapacityRequest,
--- a/lagoonlever/gateway/call_desk.py
+++ b/lagoonlever/gateway/call_desk.py
@@ -8,7 +8,7 @@
 import logbook
 import trio
 
-from lagoonlever.decisions.admission.call_line import CallEnd, CallQueue, QueueDecision
+from lagoonlever.decisions.admission.call_queue import CallEnd, CallQueue, QueueDecision
 from lagoonlever.decisions.admission.capacity import (
     RejectedWithRetryAfter,
     CapacityGranted,
--- a/lagoonlever/gateway/call_places.py
+++ b/lagoonlever/gateway/call_places.py
@@ -13,7 +13,7 @@
 import logbook
 import trio
 
-from lagoonlever.decisions.admission.call_line import RENEW_S, CallEnd
+from lagoonlever.decisions.admission.call_queue import RENEW_S, CallEnd
 from lagoonlever.decisions.admission.capacity import (
     RejectedWithRetryAfter,
     CapacityGranted,
--- a/lagoonlever/peers/messages_calls.py
+++ b/lagoonlever/peers/messages_calls.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from lagoonlever.decisions.admission.call_line import CallEnd, SlotRequest
+from lagoonlever.decisions.admission.call_queue import CallEnd, SlotRequest
 from lagoonlever.decisions.admission.capacity import (
     RejectedWithRetryAfter,
     CapacityRequest,
--- a/lagoonlever/tests/call_line_machine_tests.py
+++ b/lagoonlever/tests/call_line_machine_tests.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from lagoonlever.decisions.admission.call_line import QUEUED, CallEnd, CallQueue, SlotRequest
+from lagoonlever.decisions.admission.call_queue import QUEUED, CallEnd, CallQueue, SlotRequest
 from lagoonlever.decisions.admission.capacity import (
     RejectedWithRetryAfter,
     CapacityRequest,
--- a/lagoonlever/tests/call_line_tests.py
+++ b/lagoonlever/tests/call_line_tests.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from lagoonlever.decisions.admission.call_line import (
+from lagoonlever.decisions.admission.call_queue import (
     MOST_RETURN_S,
     QUEUED,
     SILENT_S,
--- a/lagoonlever/tests/call_places_tests.py
+++ b/lagoonlever/tests/call_places_tests.py
@@ -10,7 +10,7 @@
 import trio
 
 from lagoonlever.bench.local_fleet import Fleet, FleetVm, run_fleet, start_many
-from lagoonlever.decisions.admission.call_line import QUEUED
+from lagoonlever.decisions.admission.call_queue import QUEUED
 from lagoonlever.decisions.admission.capacity import RejectedWithRetryAfter
 from lagoonlever.decisions.settings.configuration import RouteKind, ServiceRoute
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS
