--- a/lagoonlever/decisions/streams/run_placement.py
+++ b/lagoonlever/decisions/streams/run_placement.py
@@ -19,7 +19,7 @@
 
 from lagoonlever.decisions.admission.prompt_admission import admits, most_share
 from lagoonlever.decisions.admission.retry_window import RetryWindow
-from lagoonlever.decisions.admission.room_line import reading_rate
+from lagoonlever.decisions.admission.prompt_queue import reading_rate
 from lagoonlever.decisions.engines.engine_book import EngineBook
 from lagoonlever.decisions.engines.uneven_engines import UnevenChoice
 from lagoonlever.decisions.settings.configuration import EngineLimits
--- a/lagoonlever/gateway/room_asker.py
+++ b/lagoonlever/gateway/room_asker.py
@@ -16,7 +16,7 @@
 import trio
 
 from lagoonlever.decisions.admission.capacity import RejectedWithRetryAfter
-from lagoonlever.decisions.admission.room_line import QueuedPromptId
+from lagoonlever.decisions.admission.prompt_queue import QueuedPromptId
 from lagoonlever.decisions.fleet.queue_coordinators import (
     MAX_COORDINATORS_ASKED,
     queue_coordinators,
--- a/lagoonlever/gateway/room_desk.py
+++ b/lagoonlever/gateway/room_desk.py
@@ -17,7 +17,7 @@
     CapacityRequest,
     QueuedForCapacity,
 )
-from lagoonlever.decisions.admission.room_line import (
+from lagoonlever.decisions.admission.prompt_queue import (
     LEAST_RETURN_S,
     RENEWED_WITHIN_S,
     QueuedPromptId,
--- a/lagoonlever/tests/room_asker_tests.py
+++ b/lagoonlever/tests/room_asker_tests.py
@@ -12,7 +12,7 @@
 from lagoonlever.bench.local_fleet import Fleet, run_fleet, start_many
 from lagoonlever.bench.placing_fleet import MEMORY, PROMPT, SERVICE, PlacingVm, placing_fleet
 from lagoonlever.decisions.admission.capacity import RejectedWithRetryAfter
-from lagoonlever.decisions.admission.room_line import RENEWED_WITHIN_S
+from lagoonlever.decisions.admission.prompt_queue import RENEWED_WITHIN_S
 from lagoonlever.decisions.fleet.queue_coordinators import queue_coordinators
 from lagoonlever.decisions.settings.configuration import (
     Configuration,
--- a/lagoonlever/tests/room_line_machine_tests.py
+++ b/lagoonlever/tests/room_line_machine_tests.py
@@ -7,7 +7,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from lagoonlever.decisions.admission.capacity import CapacityRequest
-from lagoonlever.decisions.admission.room_line import (
+from lagoonlever.decisions.admission.prompt_queue import (
     OTHERS_FIRST,
     RENEWED_WITHIN_S,
     QueuedPromptId,
--- a/lagoonlever/tests/room_line_tests.py
+++ b/lagoonlever/tests/room_line_tests.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from lagoonlever.decisions.admission.capacity import CapacityRequest
-from lagoonlever.decisions.admission.room_line import (
+from lagoonlever.decisions.admission.prompt_queue import (
     OTHERS_FIRST,
     RENEWED_WITHIN_S,
     STALLED_S,
