--- a/lagoonlever/bench/call_places_model.py
+++ b/lagoonlever/bench/call_places_model.py
@@ -155,7 +155,7 @@
         if self._lost():
             return
         room = CapacityRequest(
-            request=str(call.number),
+            request_id=str(call.number),
             service="apps",
             rank=0,
             arrived=call.arrived,
--- a/lagoonlever/decisions/admission/capacity.py
+++ b/lagoonlever/decisions/admission/capacity.py
@@ -13,7 +13,7 @@
 class CapacityRequest:
     """What work needs to know of room; times are seconds of the asking VM's monotonic clock."""
 
-    request: str
+    request_id: str
     service: str
     rank: int
     """0 is the most urgent."""
--- a/lagoonlever/gateway/room_desk.py
+++ b/lagoonlever/gateway/room_desk.py
@@ -158,7 +158,7 @@
         reading_s = self._beliefs.book.paces.reading_s(ask.service, "", ask.prompt_tokens, now)
         making_s = self._beliefs.book.paces.usual_making_s(ask.service) or 0.0
         room = CapacityRequest(
-            request=ask.request,
+            request_id=ask.request,
             service=ask.service,
             rank=need.rank,
             arrived=now - need.waited_s,
--- a/lagoonlever/peers/messages_calls.py
+++ b/lagoonlever/peers/messages_calls.py
@@ -44,7 +44,7 @@
     def line_ask(self, request: str, now: float) -> SlotRequest:
         """Give the same by this VM's clock."""
         room = CapacityRequest(
-            request=request,
+            request_id=request,
             service=self.service,
             rank=self.rank,
             arrived=now,
--- a/lagoonlever/tests/call_line_machine_tests.py
+++ b/lagoonlever/tests/call_line_machine_tests.py
@@ -44,7 +44,7 @@
     def ask(self, rank: int, repeatable: bool, aim_s: float) -> None:
         request = f"r-{len(self.asks)}"
         room = CapacityRequest(
-            request=request,
+            request_id=request,
             service="apps",
             rank=rank,
             arrived=self.now,
--- a/lagoonlever/tests/call_line_tests.py
+++ b/lagoonlever/tests/call_line_tests.py
@@ -35,7 +35,7 @@
     avoid: frozenset[str] = frozenset(),
 ) -> SlotRequest:
     room = CapacityRequest(
-        request=name,
+        request_id=name,
         service="apps",
         rank=rank,
         arrived=now,
--- a/lagoonlever/tests/room_line_machine_tests.py
+++ b/lagoonlever/tests/room_line_machine_tests.py
@@ -132,7 +132,7 @@
         if is_lost:
             return
         room = CapacityRequest(
-            request=asker.request,
+            request_id=asker.request,
             service="engines",
             rank=asker.rank,
             arrived=asker.arrived,
@@ -160,7 +160,7 @@
         place = QueuedPromptId(vm="vm", number=self.numbers)
         aim_s = AIMS_S[rank]
         ask = CapacityRequest(
-            request=f"r{self.numbers:05}",
+            request_id=f"r{self.numbers:05}",
             service="engines",
             rank=rank,
             arrived=float(self.numbers) / 1_000,
--- a/lagoonlever/tests/room_line_tests.py
+++ b/lagoonlever/tests/room_line_tests.py
@@ -30,7 +30,7 @@
     came = at if arrived is None else arrived
     aim_s = URGENT_S if rank == 0 else PATIENT_S
     ask = CapacityRequest(
-        request=f"r{number:03}",
+        request_id=f"r{number:03}",
         service="engines",
         rank=rank,
         arrived=came,
