--- a/lagoonlever/bench/call_places_model.py
+++ b/lagoonlever/bench/call_places_model.py
@@ -158,7 +158,7 @@
             request_id=str(call.number),
             service="apps",
             rank=0,
-            arrived=call.arrived,
+            arrived_at=call.arrived,
             start_by=call.arrived + AIM_S - self.margin * self.work_s,
             end_by=call.arrived + DEADLINE_S,
             repeatable=call.repeatable,
--- a/lagoonlever/decisions/admission/capacity.py
+++ b/lagoonlever/decisions/admission/capacity.py
@@ -17,7 +17,7 @@
     service: str
     rank: int
     """0 is the most urgent."""
-    arrived: float
+    arrived_at: float
     start_by: float
     """The latest start with which its answer is still on time."""
     end_by: float
--- a/lagoonlever/gateway/room_desk.py
+++ b/lagoonlever/gateway/room_desk.py
@@ -161,7 +161,7 @@
             request_id=ask.request,
             service=ask.service,
             rank=need.rank,
-            arrived=now - need.waited_s,
+            arrived_at=now - need.waited_s,
             start_by=now + need.first_event_in_s - reading_s - LEAD_S,
             end_by=now + need.end_in_s - reading_s - making_s,
         )
--- a/lagoonlever/peers/messages_calls.py
+++ b/lagoonlever/peers/messages_calls.py
@@ -47,7 +47,7 @@
             request_id=request,
             service=self.service,
             rank=self.rank,
-            arrived=now,
+            arrived_at=now,
             start_by=now + self.start_in_s,
             end_by=now + self.end_in_s,
             repeatable=self.repeatable,
--- a/lagoonlever/tests/call_line_machine_tests.py
+++ b/lagoonlever/tests/call_line_machine_tests.py
@@ -47,7 +47,7 @@
             request_id=request,
             service="apps",
             rank=rank,
-            arrived=self.now,
+            arrived_at=self.now,
             start_by=self.now + aim_s,
             end_by=self.now + TIME_S,
             repeatable=repeatable,
--- a/lagoonlever/tests/call_line_tests.py
+++ b/lagoonlever/tests/call_line_tests.py
@@ -38,7 +38,7 @@
         request_id=name,
         service="apps",
         rank=rank,
-        arrived=now,
+        arrived_at=now,
         start_by=now + aim_s,
         end_by=now + 1.5,
         repeatable=repeatable,
--- a/lagoonlever/tests/room_line_machine_tests.py
+++ b/lagoonlever/tests/room_line_machine_tests.py
@@ -135,7 +135,7 @@
             request_id=asker.request,
             service="engines",
             rank=asker.rank,
-            arrived=asker.arrived,
+            arrived_at=asker.arrived,
             start_by=asker.arrived + AIMS_S[asker.rank],
             end_by=asker.arrived + CALLER_S,
         )
@@ -163,7 +163,7 @@
             request_id=f"r{self.numbers:05}",
             service="engines",
             rank=rank,
-            arrived=float(self.numbers) / 1_000,
+            arrived_at=float(self.numbers) / 1_000,
             start_by=aim_s,
             end_by=CALLER_S,
         )
--- a/lagoonlever/tests/room_line_tests.py
+++ b/lagoonlever/tests/room_line_tests.py
@@ -33,7 +33,7 @@
         request_id=f"r{number:03}",
         service="engines",
         rank=rank,
-        arrived=came,
+        arrived_at=came,
         start_by=came + aim_s - READING_S,
         end_by=came + CALLER_S - READING_S,
     )
