--- a/lagoonlever/decisions/admission/call_queue.py
+++ b/lagoonlever/decisions/admission/call_queue.py
@@ -74,7 +74,7 @@
 class SlotRequest:
     """One attempt that wants a place; its ``request`` is unique to the attempt."""
 
-    room: CapacityRequest
+    capacity: CapacityRequest
     data_center: str = ""
     avoid: frozenset[str] = frozenset()
     """Runners that it has been at already."""
@@ -101,7 +101,7 @@
 
     @property
     def order(self) -> tuple[bool, int, float, bool, int]:
-        room = self.ask.room
+        room = self.ask.capacity
         return (self.late, room.rank, room.start_by, room.repeatable, self.number)
 
 
--- a/lagoonlever/peers/messages_calls.py
+++ b/lagoonlever/peers/messages_calls.py
@@ -52,7 +52,7 @@
             end_by=now + self.end_in_s,
             repeatable=self.repeatable,
         )
-        return SlotRequest(room=room, data_center=self.data_center, avoid=frozenset(self.avoid))
+        return SlotRequest(capacity=room, data_center=self.data_center, avoid=frozenset(self.avoid))
 
 
 @PEER.message("ct")
--- a/lagoonlever/tests/call_line_machine_tests.py
+++ b/lagoonlever/tests/call_line_machine_tests.py
@@ -52,7 +52,7 @@
             end_by=self.now + TIME_S,
             repeatable=repeatable,
         )
-        self.asks[request] = SlotRequest(room=room)
+        self.asks[request] = SlotRequest(capacity=room)
         self.take(request, self.line.ask(self.asks[request], self.now))
         self.tick()
 
--- a/lagoonlever/tests/call_line_tests.py
+++ b/lagoonlever/tests/call_line_tests.py
@@ -43,7 +43,7 @@
         end_by=now + 1.5,
         repeatable=repeatable,
     )
-    return SlotRequest(room=room, data_center=data_center, avoid=avoid)
+    return SlotRequest(capacity=room, data_center=data_center, avoid=avoid)
 
 
 def told(slowness: float = 1.0, *, running: float = 0, slots: float = 2) -> ToldLoad:
