--- a/lagoonlever/decisions/admission/call_queue.py
+++ b/lagoonlever/decisions/admission/call_queue.py
@@ -84,7 +84,7 @@
 class QueueDecision:
     """What has been decided of an attempt that waited."""
 
-    request: str
+    request_id: str
     outcome: CapacityGranted | RejectedWithRetryAfter
     waited_s: float
 
@@ -316,7 +316,7 @@
         request = waiter.ask.room.request
         del self._waiting[request]
         self._news.append(
-            QueueDecision(request=request, outcome=outcome, waited_s=now - waiter.since)
+            QueueDecision(request_id=request, outcome=outcome, waited_s=now - waiter.since)
         )
 
     def _best(self, ask: SlotRequest, now: float, *, queued: int = 0) -> LineRunner | None:
