--- a/lagoonlever/bench/call_places_model.py
+++ b/lagoonlever/bench/call_places_model.py
@@ -164,7 +164,7 @@
             repeatable=call.repeatable,
         )
         line.retain(self._alive())
-        outcome = line.ask(SlotRequest(capacity=room), self._now)
+        outcome = line.request_slot(SlotRequest(capacity=room), self._now)
         self._tell(call, outcome)
         self._look()
 
--- a/lagoonlever/decisions/admission/call_queue.py
+++ b/lagoonlever/decisions/admission/call_queue.py
@@ -165,7 +165,7 @@
         if former is not None:
             self._runners[name] = LineRunner(name=name, data_center=former.data_center)
 
-    def ask(self, ask: SlotRequest, now: float) -> CapacityOutcome:
+    def request_slot(self, ask: SlotRequest, now: float) -> CapacityOutcome:
         """Decide for an attempt; the same one may ask again, and is given one place at most."""
         request = ask.room.request
         given = self._given(request)
--- a/lagoonlever/gateway/call_desk.py
+++ b/lagoonlever/gateway/call_desk.py
@@ -76,7 +76,7 @@
         if asked.first is not None:
             outcome: CapacityOutcome = kept.line.ask_second(ask, first=asked.first, now=now)
         else:
-            outcome = kept.line.ask(ask, now)
+            outcome = kept.line.request_slot(ask, now)
         if isinstance(outcome, RejectedWithRetryAfter):
             self._log_refused(kept, asked.rank, outcome, now)
         elif not isinstance(outcome, CapacityGranted) and asked.first is None:
--- a/lagoonlever/tests/call_line_machine_tests.py
+++ b/lagoonlever/tests/call_line_machine_tests.py
@@ -53,7 +53,7 @@
             repeatable=repeatable,
         )
         self.asks[request] = SlotRequest(capacity=room)
-        self.take(request, self.line.ask(self.asks[request], self.now))
+        self.take(request, self.line.request_slot(self.asks[request], self.now))
         self.tick()
 
     @precondition(lambda self: self.waiting or self.given)
@@ -61,7 +61,7 @@
     def ask_again(self, data: st.DataObject) -> None:
         """Ask again: whoever has a place is told of the same one."""
         request = data.draw(st.sampled_from(sorted({*self.waiting, *self.given})))
-        self.take(request, self.line.ask(self.asks[request], self.now))
+        self.take(request, self.line.request_slot(self.asks[request], self.now))
         self.tick()
 
     @precondition(lambda self: self.given)
@@ -97,7 +97,7 @@
                 self.over.add(request)
             for request in sorted(self.waiting):
                 if request in self.waiting:
-                    self.take(request, self.line.ask(self.asks[request], self.now))
+                    self.take(request, self.line.request_slot(self.asks[request], self.now))
                     self.tick()
             self.tick()
 
--- a/lagoonlever/tests/call_line_tests.py
+++ b/lagoonlever/tests/call_line_tests.py
@@ -78,7 +78,7 @@
 
 def test_an_idle_runner_of_the_same_data_centre_goes_first() -> None:
     line = line_of(a=1, b=1)
-    assert line.ask(ask("x", data_center="dc-b"), 0.0) == CapacityGranted(target="b")
+    assert line.request_slot(ask("x", data_center="dc-b"), 0.0) == CapacityGranted(target="b")
 
 
 def test_a_runner_whose_machine_is_slow_now_goes_last() -> None:
@@ -96,7 +96,7 @@
 def test_a_call_waits_for_a_slot_rather_than_at_a_runner_and_is_told_when_it_is_free() -> None:
     line = line_of(a=1, b=1)
     fill(line, FULL)
-    assert isinstance(line.ask(ask("x"), 0.0), QueuedForCapacity)
+    assert isinstance(line.request_slot(ask("x"), 0.0), QueuedForCapacity)
     line.ended("fill-0", "a", CallEnd.ANSWERED, 0.01, seconds=0.07, load=told(running=1))
     (news,) = line.tick(0.01)
     assert (news.request, news.outcome) == ("x", CapacityGranted(target="a"))
@@ -104,7 +104,11 @@
 
 def test_nobody_is_given_two_places_for_asking_twice() -> None:
     line = line_of(a=1)
-    assert line.ask(ask("x"), 0.0) == line.ask(ask("x"), 0.0) == CapacityGranted(target="a")
+    assert (
+        line.request_slot(ask("x"), 0.0)
+        == line.request_slot(ask("x"), 0.0)
+        == CapacityGranted(target="a")
+    )
     runner = line.runner("a")
     assert runner is not None
     assert len(runner.places) == 1
@@ -113,10 +117,10 @@
 def test_order_is_by_rank_then_latest_start_then_what_may_not_be_repeated() -> None:
     line = line_of(a=1, b=1)
     fill(line, FULL)
-    line.ask(ask("patient", rank=1), 0.0)
-    line.ask(ask("lookup", repeatable=True), 0.0)
-    line.ask(ask("posting"), 0.0)
-    line.ask(ask("short", aim_s=0.2), 0.0)
+    line.request_slot(ask("patient", rank=1), 0.0)
+    line.request_slot(ask("lookup", repeatable=True), 0.0)
+    line.request_slot(ask("posting"), 0.0)
+    line.request_slot(ask("short", aim_s=0.2), 0.0)
     for number in range(4):
         line.ended(f"fill-{number}", "ab"[number % 2], CallEnd.UNUSED, 0.01)
     order = [news.request for news in line.tick(0.01)]
@@ -127,7 +131,9 @@
     line = line_of(a=1, b=1)
     fill(line, FULL)
     crowd(line)
-    outcomes: list[CapacityOutcome] = [line.ask(ask(f"x-{number}"), 0.0) for number in range(40)]
+    outcomes: list[CapacityOutcome] = [
+        line.request_slot(ask(f"x-{number}"), 0.0) for number in range(40)
+    ]
     waits = [each for each in outcomes if isinstance(each, QueuedForCapacity)]
     refused = [each for each in outcomes if isinstance(each, RejectedWithRetryAfter)]
     assert len(waits) == 10, "what two runners of two slots do in 0.25 s"
@@ -139,14 +145,14 @@
 
 def test_nothing_is_refused_while_a_slot_is_free_and_nothing_waits() -> None:
     line = line_of(a=1)
-    assert isinstance(line.ask(ask("x", aim_s=-1.0), 0.0), CapacityGranted)
+    assert isinstance(line.request_slot(ask("x", aim_s=-1.0), 0.0), CapacityGranted)
 
 
 def test_a_late_call_is_served_after_those_on_time_where_there_is_room() -> None:
     line = line_of(a=1, b=1)
     fill(line, FULL)
-    assert isinstance(line.ask(ask("late", aim_s=-0.1), 0.0), QueuedForCapacity)
-    line.ask(ask("on-time"), 0.0)
+    assert isinstance(line.request_slot(ask("late", aim_s=-0.1), 0.0), QueuedForCapacity)
+    line.request_slot(ask("on-time"), 0.0)
     line.ended("fill-0", "a", CallEnd.UNUSED, 0.01)
     assert [news.request for news in line.tick(0.01)] == ["on-time"]
 
@@ -156,9 +162,9 @@
     fill(line, FULL)
     crowd(line)
     for number in range(10):
-        line.ask(ask(f"x-{number}", rank=2), 0.0)
-    assert isinstance(line.ask(ask("patient", rank=2), 0.0), RejectedWithRetryAfter)
-    assert isinstance(line.ask(ask("urgent"), 0.0), QueuedForCapacity)
+        line.request_slot(ask(f"x-{number}", rank=2), 0.0)
+    assert isinstance(line.request_slot(ask("patient", rank=2), 0.0), RejectedWithRetryAfter)
+    assert isinstance(line.request_slot(ask("urgent"), 0.0), QueuedForCapacity)
 
 
 def test_a_place_whose_end_is_lost_is_free_again() -> None:
@@ -184,7 +190,7 @@
     line = line_of(a=1, b=1)
     line.ended("-", "a", CallEnd.ANSWERED, 0.0, seconds=0.1, load=told(running=3))
     assert fill(line, 2) == ["b", "b"]
-    assert isinstance(line.ask(ask("later", now=0.4), 0.4), CapacityGranted)
+    assert isinstance(line.request_slot(ask("later", now=0.4), 0.4), CapacityGranted)
 
 
 def test_a_silent_runner_gets_nothing_more() -> None:
@@ -192,8 +198,8 @@
     line = line_of(a=1, b=1)
     fill(line, 2)
     line.ended("fill-0", "a", CallEnd.ANSWERED, 0.5, seconds=0.1, load=told())
-    assert line.ask(ask("x", now=0.9), 0.9) == CapacityGranted(target="a")
-    assert line.ask(ask("y", now=0.9), 0.9) == CapacityGranted(target="a")
+    assert line.request_slot(ask("x", now=0.9), 0.9) == CapacityGranted(target="a")
+    assert line.request_slot(ask("y", now=0.9), 0.9) == CapacityGranted(target="a")
 
 
 def test_a_runner_that_loses_calls_is_probed_by_one_at_a_time() -> None:
@@ -210,10 +216,10 @@
     line = line_of(a=1, b=1)
     for _ in range(5):
         line.ended("-", "a", CallEnd.FAILED, 0.0)
-    assert line.ask(ask("posting"), 0.0) == CapacityGranted(target="b")
+    assert line.request_slot(ask("posting"), 0.0) == CapacityGranted(target="b")
     found = set()
     for number in range(20):
-        outcome = line.ask(ask(f"look-{number}", repeatable=True), 0.0)
+        outcome = line.request_slot(ask(f"look-{number}", repeatable=True), 0.0)
         assert isinstance(outcome, CapacityGranted)
         line.ended(f"look-{number}", outcome.target, CallEnd.UNUSED, 0.0)
         found.add(outcome.target)
@@ -223,7 +229,7 @@
 def test_a_vm_that_waits_and_dies_takes_no_place() -> None:
     line = line_of(a=1)
     fill(line, 2)
-    line.ask(ask("dead"), 0.0)
+    line.request_slot(ask("dead"), 0.0)
     line.ended("fill-0", "a", CallEnd.UNUSED, SILENT_S + 0.1)
     assert line.tick(SILENT_S + 0.1) == ()
     assert line.waiting == 0
@@ -231,7 +237,7 @@
 
 def test_a_second_attempt_needs_a_runner_in_trouble_and_a_free_slot() -> None:
     line = line_of(a=1, b=1)
-    first = line.ask(ask("x"), 0.0)
+    first = line.request_slot(ask("x"), 0.0)
     assert isinstance(first, CapacityGranted)
     second = ask("x/2", now=0.1, avoid=frozenset((first.target,)))
     assert isinstance(line.ask_second(second, first=first.target, now=0.1), QueuedForCapacity)
@@ -244,7 +250,7 @@
 def test_a_second_attempt_takes_no_slot_that_somebody_waits_for() -> None:
     line = line_of(a=2.5, b=1)
     fill(line, FULL)
-    line.ask(ask("waits"), 0.0)
+    line.request_slot(ask("waits"), 0.0)
     second = ask("fill-0/2", avoid=frozenset(("a",)))
     assert isinstance(line.ask_second(second, first="a", now=0.0), QueuedForCapacity)
 
@@ -253,7 +259,7 @@
     line = line_of(a=1)
     for _ in range(2):
         line.ended("-", "a", CallEnd.LOST, 0.0)
-    assert line.ask(ask("x"), 0.0) == CapacityGranted(target="a")
+    assert line.request_slot(ask("x"), 0.0) == CapacityGranted(target="a")
 
 
 def test_another_process_of_a_runner_begins_with_nothing() -> None:
