--- a/lagoonlever/decisions/admission/call_queue.py
+++ b/lagoonlever/decisions/admission/call_queue.py
@@ -180,7 +180,7 @@
         self._asked += 1
         return self._join(_Waiter(ask=ask, number=self._asked, since=now, renewed=now), now)
 
-    def ask_second(
+    def request_second_slot(
         self, ask: SlotRequest, *, first: str, now: float
     ) -> CapacityGranted | QueuedForCapacity:
         """Give a place for a second attempt if the runner of the first is in a bad state.
--- a/lagoonlever/gateway/call_desk.py
+++ b/lagoonlever/gateway/call_desk.py
@@ -74,7 +74,9 @@
         request = _request(vm, asked.number)
         ask = asked.line_ask(request, now)
         if asked.first is not None:
-            outcome: CapacityOutcome = kept.line.ask_second(ask, first=asked.first, now=now)
+            outcome: CapacityOutcome = kept.line.request_second_slot(
+                ask, first=asked.first, now=now
+            )
         else:
             outcome = kept.line.request_slot(ask, now)
         if isinstance(outcome, RejectedWithRetryAfter):
--- a/lagoonlever/tests/call_line_tests.py
+++ b/lagoonlever/tests/call_line_tests.py
@@ -240,9 +240,11 @@
     first = line.request_slot(ask("x"), 0.0)
     assert isinstance(first, CapacityGranted)
     second = ask("x/2", now=0.1, avoid=frozenset((first.target,)))
-    assert isinstance(line.ask_second(second, first=first.target, now=0.1), QueuedForCapacity)
+    assert isinstance(
+        line.request_second_slot(second, first=first.target, now=0.1), QueuedForCapacity
+    )
     line.ended("-", first.target, CallEnd.ANSWERED, 0.1, seconds=0.2, load=told(2.5, running=1))
-    outcome = line.ask_second(second, first=first.target, now=0.1)
+    outcome = line.request_second_slot(second, first=first.target, now=0.1)
     assert isinstance(outcome, CapacityGranted)
     assert outcome.target != first.target
 
@@ -252,7 +254,7 @@
     fill(line, FULL)
     line.request_slot(ask("waits"), 0.0)
     second = ask("fill-0/2", avoid=frozenset(("a",)))
-    assert isinstance(line.ask_second(second, first="a", now=0.0), QueuedForCapacity)
+    assert isinstance(line.request_second_slot(second, first="a", now=0.0), QueuedForCapacity)
 
 
 def test_where_every_runner_looks_stalled_one_is_tried() -> None:
