--- a/lagoonlever/decisions/admission/call_queue.py
+++ b/lagoonlever/decisions/admission/call_queue.py
@@ -195,7 +195,7 @@
             return QueuedForCapacity(seconds=RENEW_S)
         return self._give(ask, best, now)
 
-    def leave(self, request: str) -> None:
+    def withdraw(self, request: str) -> None:
         """Note that an attempt neither waits nor has a use for a place any longer."""
         self._waiting.pop(request, None)
         for runner in self._runners.values():
@@ -212,7 +212,7 @@
         load: ToldLoad | None = None,
     ) -> None:
         """Take the end of an attempt, its time at the runner, and the runner's word in it."""
-        self.leave(request)
+        self.withdraw(request)
         known = self._runners.get(runner)
         if known is None:
             return
@@ -235,7 +235,7 @@
         self._expire(now)
         for waiter in list(self._waiting.values()):
             if now - waiter.renewed > SILENT_S:
-                self.leave(waiter.ask.room.request)
+                self.withdraw(waiter.ask.room.request)
             elif self._is_lost(waiter, now):
                 self._put(waiter, self._refusal(waiter.ask, now), now)
         self._serve(now)
@@ -260,7 +260,7 @@
         waiter.late = True
         if self._ends_in_time(waiter, now):
             return self._in_line(waiter)
-        self.leave(request)
+        self.withdraw(request)
         return self._refusal(waiter.ask, now)
 
     def _in_line(self, waiter: _Waiter) -> QueuedForCapacity:
--- a/lagoonlever/tests/call_line_machine_tests.py
+++ b/lagoonlever/tests/call_line_machine_tests.py
@@ -85,7 +85,7 @@
         request = data.draw(st.sampled_from(sorted(self.waiting)))
         self.waiting.discard(request)
         self.over.add(request)
-        self.line.leave(request)
+        self.line.withdraw(request)
 
     @rule(steps=st.integers(1, 4))
     def wait(self, steps: int) -> None:
--- a/lagoonlever/tests/call_line_tests.py
+++ b/lagoonlever/tests/call_line_tests.py
@@ -69,7 +69,7 @@
     """Let more ask than the runners can serve; all of them leave."""
     for number in range(40):
         line.ask(ask(f"crowd-{number}", now=now), now)
-        line.leave(f"crowd-{number}")
+        line.withdraw(f"crowd-{number}")
 
 
 def test_places_are_spread_over_free_slots() -> None:
