--- a/lagoonlever/bench/call_places_model.py
+++ b/lagoonlever/bench/call_places_model.py
@@ -235,5 +235,5 @@
             return
         told = self.runners[name].says(load)
         end = CallEnd.ANSWERED
-        self.line.ended(str(call.number), name, end, self._now, seconds=seconds, load=told)
+        self.line.record_end(str(call.number), name, end, self._now, seconds=seconds, load=told)
         self._look()
--- a/lagoonlever/decisions/admission/call_queue.py
+++ b/lagoonlever/decisions/admission/call_queue.py
@@ -201,7 +201,7 @@
         for runner in self._runners.values():
             runner.release(request)
 
-    def ended(
+    def record_end(
         self,
         request: str,
         runner: str,
--- a/lagoonlever/tests/call_line_machine_tests.py
+++ b/lagoonlever/tests/call_line_machine_tests.py
@@ -38,7 +38,7 @@
         self.line.retain(dict.fromkeys(RUNNERS, "dc"))
         for name, pace in zip(RUNNERS, slowness, strict=True):
             load = ToldLoad(running=0, waiting=0, slots=SLOTS, slowness=pace)
-            self.line.ended("-", name, CallEnd.ANSWERED, self.now, seconds=0.07, load=load)
+            self.line.record_end("-", name, CallEnd.ANSWERED, self.now, seconds=0.07, load=load)
 
     @rule(rank=st.integers(0, 2), repeatable=st.booleans(), aim_s=st.sampled_from([AIM_S, 0.1]))
     def ask(self, rank: int, repeatable: bool, aim_s: float) -> None:
@@ -76,7 +76,7 @@
         runner = self.given.pop(request)
         self.over.add(request)
         load = ToldLoad(running=running, waiting=0, slots=SLOTS, slowness=slowness)
-        self.line.ended(request, runner, end, self.now, seconds=0.07, load=load)
+        self.line.record_end(request, runner, end, self.now, seconds=0.07, load=load)
         self.tick()
 
     @precondition(lambda self: self.waiting)
--- a/lagoonlever/tests/call_line_tests.py
+++ b/lagoonlever/tests/call_line_tests.py
@@ -55,7 +55,7 @@
     line = CallQueue()
     line.retain({name: f"dc-{name}" for name in slowness})
     for name, pace in slowness.items():
-        line.ended("-", name, CallEnd.ANSWERED, 0.0, seconds=0.1 * pace, load=told(pace))
+        line.record_end("-", name, CallEnd.ANSWERED, 0.0, seconds=0.1 * pace, load=told(pace))
     return line
 
 
@@ -97,7 +97,7 @@
     line = line_of(a=1, b=1)
     fill(line, FULL)
     assert isinstance(line.request_slot(ask("x"), 0.0), QueuedForCapacity)
-    line.ended("fill-0", "a", CallEnd.ANSWERED, 0.01, seconds=0.07, load=told(running=1))
+    line.record_end("fill-0", "a", CallEnd.ANSWERED, 0.01, seconds=0.07, load=told(running=1))
     (news,) = line.tick(0.01)
     assert (news.request, news.outcome) == ("x", CapacityGranted(target="a"))
 
@@ -122,7 +122,7 @@
     line.request_slot(ask("posting"), 0.0)
     line.request_slot(ask("short", aim_s=0.2), 0.0)
     for number in range(4):
-        line.ended(f"fill-{number}", "ab"[number % 2], CallEnd.UNUSED, 0.01)
+        line.record_end(f"fill-{number}", "ab"[number % 2], CallEnd.UNUSED, 0.01)
     order = [news.request for news in line.tick(0.01)]
     assert order == ["short", "posting", "lookup", "patient"]
 
@@ -153,7 +153,7 @@
     fill(line, FULL)
     assert isinstance(line.request_slot(ask("late", aim_s=-0.1), 0.0), QueuedForCapacity)
     line.request_slot(ask("on-time"), 0.0)
-    line.ended("fill-0", "a", CallEnd.UNUSED, 0.01)
+    line.record_end("fill-0", "a", CallEnd.UNUSED, 0.01)
     assert [news.request for news in line.tick(0.01)] == ["on-time"]
 
 
@@ -179,7 +179,7 @@
     """The message of an end is lost, and the runner says that it has fewer calls."""
     line = line_of(a=1)
     fill(line, 2)
-    line.ended("fill-0", "a", CallEnd.ANSWERED, 0.6, seconds=0.1, load=told(running=0))
+    line.record_end("fill-0", "a", CallEnd.ANSWERED, 0.6, seconds=0.1, load=told(running=0))
     runner = line.runner("a")
     assert runner is not None
     assert not runner.places
@@ -188,7 +188,7 @@
 def test_calls_that_others_sent_are_counted_for_a_moment() -> None:
     """Two VMs give out places, or one chooses by itself: its calls show in the runner's word."""
     line = line_of(a=1, b=1)
-    line.ended("-", "a", CallEnd.ANSWERED, 0.0, seconds=0.1, load=told(running=3))
+    line.record_end("-", "a", CallEnd.ANSWERED, 0.0, seconds=0.1, load=told(running=3))
     assert fill(line, 2) == ["b", "b"]
     assert isinstance(line.request_slot(ask("later", now=0.4), 0.4), CapacityGranted)
 
@@ -197,7 +197,7 @@
     """A runner is gone without a word: its places stay open and it would be given each free one."""
     line = line_of(a=1, b=1)
     fill(line, 2)
-    line.ended("fill-0", "a", CallEnd.ANSWERED, 0.5, seconds=0.1, load=told())
+    line.record_end("fill-0", "a", CallEnd.ANSWERED, 0.5, seconds=0.1, load=told())
     assert line.request_slot(ask("x", now=0.9), 0.9) == CapacityGranted(target="a")
     assert line.request_slot(ask("y", now=0.9), 0.9) == CapacityGranted(target="a")
 
@@ -205,23 +205,23 @@
 def test_a_runner_that_loses_calls_is_probed_by_one_at_a_time() -> None:
     line = line_of(a=1, b=1)
     for _ in range(2):
-        line.ended("-", "a", CallEnd.LOST, 0.0)
+        line.record_end("-", "a", CallEnd.LOST, 0.0)
     assert fill(line, 2) == ["b", "b"]
-    line.ended("fill-0", "b", CallEnd.UNUSED, 0.6)
-    line.ended("fill-1", "b", CallEnd.UNUSED, 0.6)
+    line.record_end("fill-0", "b", CallEnd.UNUSED, 0.6)
+    line.record_end("fill-1", "b", CallEnd.UNUSED, 0.6)
     assert fill(line, 4, now=1.5).count("a") == 1
 
 
 def test_a_runner_that_fails_calls_gets_only_samples_of_lookups() -> None:
     line = line_of(a=1, b=1)
     for _ in range(5):
-        line.ended("-", "a", CallEnd.FAILED, 0.0)
+        line.record_end("-", "a", CallEnd.FAILED, 0.0)
     assert line.request_slot(ask("posting"), 0.0) == CapacityGranted(target="b")
     found = set()
     for number in range(20):
         outcome = line.request_slot(ask(f"look-{number}", repeatable=True), 0.0)
         assert isinstance(outcome, CapacityGranted)
-        line.ended(f"look-{number}", outcome.target, CallEnd.UNUSED, 0.0)
+        line.record_end(f"look-{number}", outcome.target, CallEnd.UNUSED, 0.0)
         found.add(outcome.target)
     assert found == {"a", "b"}
 
@@ -230,7 +230,7 @@
     line = line_of(a=1)
     fill(line, 2)
     line.request_slot(ask("dead"), 0.0)
-    line.ended("fill-0", "a", CallEnd.UNUSED, SILENT_S + 0.1)
+    line.record_end("fill-0", "a", CallEnd.UNUSED, SILENT_S + 0.1)
     assert line.tick(SILENT_S + 0.1) == ()
     assert line.waiting == 0
 
@@ -243,7 +243,9 @@
     assert isinstance(
         line.request_second_slot(second, first=first.target, now=0.1), QueuedForCapacity
     )
-    line.ended("-", first.target, CallEnd.ANSWERED, 0.1, seconds=0.2, load=told(2.5, running=1))
+    line.record_end(
+        "-", first.target, CallEnd.ANSWERED, 0.1, seconds=0.2, load=told(2.5, running=1)
+    )
     outcome = line.request_second_slot(second, first=first.target, now=0.1)
     assert isinstance(outcome, CapacityGranted)
     assert outcome.target != first.target
@@ -260,7 +262,7 @@
 def test_where_every_runner_looks_stalled_one_is_tried() -> None:
     line = line_of(a=1)
     for _ in range(2):
-        line.ended("-", "a", CallEnd.LOST, 0.0)
+        line.record_end("-", "a", CallEnd.LOST, 0.0)
     assert line.request_slot(ask("x"), 0.0) == CapacityGranted(target="a")
 
 
