--- a/lagoonlever/decisions/admission/call_queue.py
+++ b/lagoonlever/decisions/admission/call_queue.py
@@ -159,7 +159,7 @@
             if name not in self._runners:
                 self._runners[name] = LineRunner(name=name, data_center=data_center)
 
-    def started_again(self, name: str) -> None:
+    def record_restart(self, name: str) -> None:
         """Note that another process has a runner's id: what was known of it is void."""
         former = self._runners.pop(name, None)
         if former is not None:
--- a/lagoonlever/tests/call_line_tests.py
+++ b/lagoonlever/tests/call_line_tests.py
@@ -269,7 +269,7 @@
 def test_another_process_of_a_runner_begins_with_nothing() -> None:
     line = line_of(a=2.5)
     fill(line, 2)
-    line.started_again("a")
+    line.record_restart("a")
     runner = line.runner("a")
     assert runner is not None
     assert (runner.slowness(0.0), len(runner.places)) == (1.0, 0)
