--- a/lagoonlever/decisions/admission/call_queue.py
+++ b/lagoonlever/decisions/admission/call_queue.py
@@ -35,7 +35,7 @@
 WORK_WEIGHT = 0.05
 RATE_OVER_S = 0.5
 """The time over which asks are counted."""
-RENEW_S = 0.1
+RENEW_INTERVAL_S = 0.1
 """How often whoever waits asks again."""
 SILENT_S = 0.35
 """Whoever has not asked again for so long is gone, or waits elsewhere."""
@@ -192,7 +192,7 @@
             return CapacityGranted(target=given.name)
         best = None if self._waiting or not self._in_trouble(first, now) else self._best(ask, now)
         if best is None:
-            return QueuedForCapacity(seconds=RENEW_S)
+            return QueuedForCapacity(seconds=RENEW_INTERVAL_S)
         return self._give(ask, best, now)
 
     def withdraw(self, request: str) -> None:
@@ -264,7 +264,7 @@
         return self._refusal(waiter.ask, now)
 
     def _in_line(self, waiter: _Waiter) -> QueuedForCapacity:
-        return QueuedForCapacity(seconds=RENEW_S, ahead=self._ahead(waiter))
+        return QueuedForCapacity(seconds=RENEW_INTERVAL_S, ahead=self._ahead(waiter))
 
     def _ahead(self, waiter: _Waiter) -> int:
         return sum(1 for other in self._waiting.values() if other.order < waiter.order)
--- a/lagoonlever/gateway/call_places.py
+++ b/lagoonlever/gateway/call_places.py
@@ -13,7 +13,7 @@
 import logbook
 import trio
 
-from lagoonlever.decisions.admission.call_queue import RENEW_S, CallEnd
+from lagoonlever.decisions.admission.call_queue import RENEW_INTERVAL_S, CallEnd
 from lagoonlever.decisions.admission.capacity import (
     RejectedWithRetryAfter,
     CapacityGranted,
@@ -185,7 +185,7 @@
         if isinstance(outcome, RejectedWithRetryAfter):
             return outcome
         if not isinstance(outcome, CapacityGranted):
-            return RejectedWithRetryAfter(detail="no slot is free", retry_after_s=RENEW_S)
+            return RejectedWithRetryAfter(detail="no slot is free", retry_after_s=RENEW_INTERVAL_S)
         place = CallPlace(
             target=outcome.target,
             number=question.number,
@@ -211,7 +211,7 @@
                     told = await receive.receive()
                 if told is None or not self._waits(told, question):
                     return told
-                with trio.move_on_after(RENEW_S):
+                with trio.move_on_after(RENEW_INTERVAL_S):
                     while self._waits(told, question):
                         told = await receive.receive()
                 if not self._waits(told, question):
