--- a/lagoonlever/decisions/admission/call_queue.py
+++ b/lagoonlever/decisions/admission/call_queue.py
@@ -27,7 +27,7 @@
 
 FIRST_WORK_S = 0.1
 """Of one call, until answers have come."""
-QUEUED = 1
+MAX_QUEUED_PER_RUNNER = 1
 """Calls beyond its slots that a runner gets while others wait in the line.
 
 The way from an end to the next begin takes some milliseconds, in which the slot is idle.
@@ -302,7 +302,9 @@
     def _serve(self, now: float) -> None:
         """Give places to those in front, until the next has to wait."""
         for waiter in sorted(self._waiting.values(), key=lambda each: each.order):
-            best = self._best(waiter.ask, now) or self._best(waiter.ask, now, queued=QUEUED)
+            best = self._best(waiter.ask, now) or self._best(
+                waiter.ask, now, queued=MAX_QUEUED_PER_RUNNER
+            )
             if best is None and not waiter.ask.avoid:
                 return
             if best is not None and not self._better_waits(waiter, best, now):
--- a/lagoonlever/tests/call_line_machine_tests.py
+++ b/lagoonlever/tests/call_line_machine_tests.py
@@ -5,7 +5,12 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from lagoonlever.decisions.admission.call_queue import QUEUED, CallEnd, CallQueue, SlotRequest
+from lagoonlever.decisions.admission.call_queue import (
+    MAX_QUEUED_PER_RUNNER,
+    CallEnd,
+    CallQueue,
+    SlotRequest,
+)
 from lagoonlever.decisions.admission.capacity import (
     RejectedWithRetryAfter,
     CapacityRequest,
@@ -135,7 +140,7 @@
     def no_runner_has_more_places_than_slots(self) -> None:
         for name in RUNNERS:
             runner = self.line.runner(name)
-            assert runner is None or len(runner.places) <= SLOTS + QUEUED
+            assert runner is None or len(runner.places) <= SLOTS + MAX_QUEUED_PER_RUNNER
 
 
 TestCallLine = CallLineMachine.TestCase
--- a/lagoonlever/tests/call_line_tests.py
+++ b/lagoonlever/tests/call_line_tests.py
@@ -4,7 +4,7 @@
 
 from lagoonlever.decisions.admission.call_queue import (
     MOST_RETURN_S,
-    QUEUED,
+    MAX_QUEUED_PER_RUNNER,
     SILENT_S,
     CallEnd,
     CallQueue,
@@ -20,7 +20,7 @@
 from lagoonlever.decisions.targets.told_load import ToldLoad
 
 AIM_S = 0.25
-FULL = 2 * (2 + QUEUED)
+FULL = 2 * (2 + MAX_QUEUED_PER_RUNNER)
 """Places at two runners of two slots."""
 
 
--- a/lagoonlever/tests/call_places_tests.py
+++ b/lagoonlever/tests/call_places_tests.py
@@ -10,7 +10,7 @@
 import trio
 
 from lagoonlever.bench.local_fleet import Fleet, FleetVm, run_fleet, start_many
-from lagoonlever.decisions.admission.call_queue import QUEUED
+from lagoonlever.decisions.admission.call_queue import MAX_QUEUED_PER_RUNNER
 from lagoonlever.decisions.admission.capacity import RejectedWithRetryAfter
 from lagoonlever.decisions.settings.configuration import RouteKind, ServiceRoute
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS
@@ -32,7 +32,7 @@
 SERVICE = "apps"
 RUNNERS = ("r-0", "r-1")
 SLOTS = 2.0
-FULL = 2 * (2 + QUEUED)
+FULL = 2 * (2 + MAX_QUEUED_PER_RUNNER)
 """Places at two runners of two slots."""
 VMS = 9
 SETTLED_S = 6.0
