--- a/lagoonlever/decisions/admission/prompt_queue.py
+++ b/lagoonlever/decisions/admission/prompt_queue.py
@@ -136,7 +136,7 @@
         """Who waits, in no order."""
         return tuple(self._waiting.values())
 
-    def ask(self, asked: QueuedPrompt) -> bool:
+    def enqueue_or_renew(self, asked: QueuedPrompt) -> bool:
         """Take a prompt into the line, or note that its VM still wants it; tells if it is new.
 
         The first figures of its times stay: those of a later message may have been under way.
--- a/lagoonlever/tests/room_line_tests.py
+++ b/lagoonlever/tests/room_line_tests.py
@@ -44,7 +44,7 @@
 def line_of(*all_waiting: QueuedPrompt) -> PromptQueue:
     line = PromptQueue()
     for each in all_waiting:
-        line.ask(each)
+        line.enqueue_or_renew(each)
     return line
 
 
@@ -135,7 +135,7 @@
     for step in range(8):
         serve(line, 0.25 * step)
     late = waiting(200, at=2.0)
-    line.ask(late)
+    line.enqueue_or_renew(late)
     assert line.refusal(late.place, 2.0, most_per_s=FAST) is not None
 
 
@@ -143,7 +143,7 @@
     """Guards against places for VMs that are dead, or that ask elsewhere."""
     line = line_of(waiting(1), waiting(2))
     again = waiting(2, at=RENEWED_WITHIN_S)
-    assert not line.ask(again)
+    assert not line.enqueue_or_renew(again)
     silent = line.expire(RENEWED_WITHIN_S + 0.1)
     assert [each.ask.request for each in silent] == ["r001"]
     assert len(line) == 1
@@ -152,7 +152,7 @@
 def test_a_later_question_does_not_change_when_a_prompt_is_late() -> None:
     """Guards against prompts that move back in line as their questions travel slowly."""
     line = line_of(waiting(1))
-    line.ask(waiting(1, at=0.5))
+    line.enqueue_or_renew(waiting(1, at=0.5))
     assert line.waiting[0].ask.start_by == PATIENT_S - READING_S
 
 
