--- a/lagoonlever/decisions/admission/prompt_queue.py
+++ b/lagoonlever/decisions/admission/prompt_queue.py
@@ -149,7 +149,7 @@
         self._rate.busy(asked.heard)
         return True
 
-    def leave(self, place: QueuedPromptId) -> None:
+    def remove(self, place: QueuedPromptId) -> None:
         """Take out a prompt that is wanted no more."""
         self._waiting.pop(place, None)
         if not self._waiting:
@@ -159,7 +159,7 @@
         """Take out, and give, those whose VM was not heard of late."""
         silent = tuple(w for w in self._waiting.values() if now - w.heard > RENEWED_WITHIN_S)
         for waiting in silent:
-            self.leave(waiting.place)
+            self.remove(waiting.place)
         return silent
 
     def hopeless(self, now: float) -> tuple[QueuedPrompt, ...]:
@@ -189,7 +189,7 @@
         passes = bool(behind) and all(w.place != place for w in behind)
         self._passed = self._passed + 1 if passes else 0
         self._rate.begun(now)
-        self.leave(place)
+        self.remove(place)
 
     def is_stalled(self, now: float, *, most_per_s: float) -> bool:
         """Tell whether somebody has waited for long and nobody was begun."""
--- a/lagoonlever/tests/room_line_machine_tests.py
+++ b/lagoonlever/tests/room_line_machine_tests.py
@@ -69,7 +69,7 @@
         """Its question at the first one is closed, whether that one hears of it or not."""
         asker = data.draw(st.sampled_from(self.waiting))
         if not is_lost:
-            self.lines[asker.keeper].leave(self.place_of(asker))
+            self.lines[asker.keeper].remove(self.place_of(asker))
         asker.keeper, asker.question, asker.heard_at = 1 - asker.keeper, asker.question + 1, None
         self._ask(asker, is_lost=False)
 
