--- a/lagoonlever/decisions/admission/prompt_queue.py
+++ b/lagoonlever/decisions/admission/prompt_queue.py
@@ -183,7 +183,7 @@
         self._ahead = {w.place: number for number, w in enumerate(ordered)}
         return ordered
 
-    def given(self, place: QueuedPromptId, now: float) -> None:
+    def record_start(self, place: QueuedPromptId, now: float) -> None:
         """Note that a prompt has got a place, and take it out."""
         behind = self._behind(now)
         passes = bool(behind) and all(w.place != place for w in behind)
--- a/lagoonlever/tests/room_line_machine_tests.py
+++ b/lagoonlever/tests/room_line_machine_tests.py
@@ -94,7 +94,7 @@
             return
         first = ordered[0]
         self._check_order(ordered)
-        line.given(first.place, self.now)
+        line.record_start(first.place, self.now)
         asker = next(each for each in self.askers if each.request == first.place.vm)
         is_open = asker.question == first.place.number and not asker.placed
         if is_lost or not is_open:
@@ -176,7 +176,7 @@
             return
         ranks = {w.ask.rank for w in ordered}
         first = ordered[0]
-        self.line.given(first.place, 0.0)
+        self.line.record_start(first.place, 0.0)
         self.since_patient = self.since_patient + 1 if ranks == {0, 2} else 0
         if first.ask.rank == 2:
             self.since_patient = 0
--- a/lagoonlever/tests/room_line_tests.py
+++ b/lagoonlever/tests/room_line_tests.py
@@ -54,7 +54,7 @@
 
 def serve(line: PromptQueue, now: float, *, per_s: float = FAST) -> QueuedPrompt:
     first = line.order(now, most_per_s=per_s)[0]
-    line.given(first.place, now)
+    line.record_start(first.place, now)
     return first
 
 
@@ -168,7 +168,7 @@
     line = line_of(waiting(1), waiting(2))
     assert not line.is_stalled(STALLED_S - 0.1, most_per_s=FAST)
     assert line.is_stalled(STALLED_S, most_per_s=FAST)
-    line.given(QueuedPromptId(vm="vm-1", number=1), STALLED_S)
+    line.record_start(QueuedPromptId(vm="vm-1", number=1), STALLED_S)
     assert not line.is_stalled(STALLED_S + 0.5, most_per_s=FAST)
 
 
