--- a/lagoonlever/decisions/admission/prompt_queue.py
+++ b/lagoonlever/decisions/admission/prompt_queue.py
@@ -196,7 +196,7 @@
         longest_s = max(STALLED_S, STALLED_READINGS / max(most_per_s, LEAST_PER_S))
         return self._rate.idle_s(now) >= longest_s
 
-    def refusal(
+    def rejection(
         self, place: QueuedPromptId, now: float, *, most_per_s: float
     ) -> RejectedWithRetryAfter | None:
         """Give why the line can't reach a prompt in its time, and when there will be room.
--- a/lagoonlever/tests/room_line_tests.py
+++ b/lagoonlever/tests/room_line_tests.py
@@ -104,14 +104,14 @@
     """Guards against refusals of patient callers that engines could have read in time."""
     line = line_of(*(waiting(n) for n in range(100)))
     last = QueuedPromptId(vm="vm-99", number=99)
-    assert line.refusal(last, 0.0, most_per_s=FAST) is None
+    assert line.rejection(last, 0.0, most_per_s=FAST) is None
 
 
 def test_one_that_the_line_cannot_reach_is_told_when_to_come_back() -> None:
     """Guards against callers who wait for seconds for a refusal that was known at once."""
     line = line_of(*(waiting(n) for n in range(100)))
     last = QueuedPromptId(vm="vm-99", number=99)
-    refused = line.refusal(last, 0.0, most_per_s=SLOW)
+    refused = line.rejection(last, 0.0, most_per_s=SLOW)
     assert refused is not None
     assert 0.5 <= refused.retry_after_s <= CALLER_S / 3
 
@@ -119,14 +119,14 @@
 def test_an_urgent_one_is_not_refused_for_the_patient_before_it() -> None:
     """Guards against a length of line that is told to those who would go first."""
     line = line_of(*(waiting(n) for n in range(100)), waiting(200, rank=0))
-    assert line.refusal(QueuedPromptId(vm="vm-200", number=200), 0.0, most_per_s=SLOW) is None
+    assert line.rejection(QueuedPromptId(vm="vm-200", number=200), 0.0, most_per_s=SLOW) is None
 
 
 def test_nobody_is_refused_where_nobody_waits() -> None:
     """Guards against a refusal while the next engine that is ready would be the caller's."""
     line = line_of(waiting(1, rank=0, arrived=-6.0, at=0.0))
     place = QueuedPromptId(vm="vm-1", number=1)
-    assert line.refusal(place, 0.0, most_per_s=SLOW) is None
+    assert line.rejection(place, 0.0, most_per_s=SLOW) is None
 
 
 def test_the_rate_is_learnt_from_what_engines_take_while_the_line_is_busy() -> None:
@@ -136,7 +136,7 @@
         serve(line, 0.25 * step)
     late = waiting(200, at=2.0)
     line.enqueue_or_renew(late)
-    assert line.refusal(late.place, 2.0, most_per_s=FAST) is not None
+    assert line.rejection(late.place, 2.0, most_per_s=FAST) is not None
 
 
 def test_who_is_not_asked_for_again_is_dropped() -> None:
