--- a/lagoonlever/decisions/admission/prompt_queue.py
+++ b/lagoonlever/decisions/admission/prompt_queue.py
@@ -162,7 +162,7 @@
             self.remove(waiting.place)
         return silent
 
-    def hopeless(self, now: float) -> tuple[QueuedPrompt, ...]:
+    def unfinishable(self, now: float) -> tuple[QueuedPrompt, ...]:
         """Give those that could not end in their callers' time any more."""
         return tuple(w for w in self._waiting.values() if now > w.ask.end_by)
 
--- a/lagoonlever/tests/room_line_tests.py
+++ b/lagoonlever/tests/room_line_tests.py
@@ -159,8 +159,8 @@
 def test_who_cannot_end_in_its_time_any_more_is_named() -> None:
     """Guards against prompts that are read in vain after a long wait."""
     line = line_of(waiting(1), waiting(2, at=1.0))
-    assert line.hopeless(CALLER_S - READING_S) == ()
-    assert [w.ask.request for w in line.hopeless(CALLER_S - READING_S + 0.5)] == ["r001"]
+    assert line.unfinishable(CALLER_S - READING_S) == ()
+    assert [w.ask.request for w in line.unfinishable(CALLER_S - READING_S + 0.5)] == ["r001"]
 
 
 def test_a_line_in_which_nobody_moves_is_stalled() -> None:
