--- a/lagoonlever/decisions/admission/prompt_queue.py
+++ b/lagoonlever/decisions/admission/prompt_queue.py
@@ -217,7 +217,7 @@
             retry_after_s=min(longest_s, max(LEAST_RETURN_S, len(ordered) / per_s)),
         )
 
-    def ahead_of(self, place: QueuedPromptId) -> int:
+    def count_ahead(self, place: QueuedPromptId) -> int:
         """Count those who went before a prompt when the order was last worked out."""
         return self._ahead.get(place, 0)
 
