--- a/lagoonlever/decisions/admission/prompt_queue.py
+++ b/lagoonlever/decisions/admission/prompt_queue.py
@@ -62,7 +62,7 @@
 class QueuedPrompt:
     """One prompt in line; times are seconds of this VM's monotonic clock."""
 
-    place: QueuedPromptId
+    prompt_id: QueuedPromptId
     ask: CapacityRequest
     asked: float
     heard: float
@@ -141,11 +141,11 @@
 
         The first figures of its times stay: those of a later message may have been under way.
         """
-        known = self._waiting.get(asked.place)
+        known = self._waiting.get(asked.prompt_id)
         if known is not None:
             known.heard = asked.heard
             return False
-        self._waiting[asked.place] = asked
+        self._waiting[asked.prompt_id] = asked
         self._rate.busy(asked.heard)
         return True
 
--- a/lagoonlever/gateway/room_desk.py
+++ b/lagoonlever/gateway/room_desk.py
@@ -165,7 +165,9 @@
             start_by=now + need.first_event_in_s - reading_s - LEAD_S,
             end_by=now + need.end_in_s - reading_s - making_s,
         )
-        return QueuedPrompt(place=place, ask=room, asked=now, heard=now, broken_off=need.broken_off)
+        return QueuedPrompt(
+            prompt_id=place, ask=room, asked=now, heard=now, broken_off=need.broken_off
+        )
 
     def _serve(self, service: str, line: PromptQueue) -> None:
         """Give places to the first in line while engines are ready for them."""
--- a/lagoonlever/tests/room_line_tests.py
+++ b/lagoonlever/tests/room_line_tests.py
@@ -38,7 +38,7 @@
         end_by=came + CALLER_S - READING_S,
     )
     place = QueuedPromptId(vm=f"vm-{number}", number=number)
-    return QueuedPrompt(place=place, ask=ask, asked=at, heard=at, broken_off=broken)
+    return QueuedPrompt(prompt_id=place, ask=ask, asked=at, heard=at, broken_off=broken)
 
 
 def line_of(*all_waiting: QueuedPrompt) -> PromptQueue:
@@ -136,7 +136,7 @@
         serve(line, 0.25 * step)
     late = waiting(200, at=2.0)
     line.enqueue_or_renew(late)
-    assert line.rejection(late.place, 2.0, most_per_s=FAST) is not None
+    assert line.rejection(late.prompt_id, 2.0, most_per_s=FAST) is not None
 
 
 def test_who_is_not_asked_for_again_is_dropped() -> None:
