--- a/lagoonlever/decisions/admission/prompt_queue.py
+++ b/lagoonlever/decisions/admission/prompt_queue.py
@@ -63,7 +63,7 @@
     """One prompt in line; times are seconds of this VM's monotonic clock."""
 
     prompt_id: QueuedPromptId
-    ask: CapacityRequest
+    request: CapacityRequest
     asked: float
     heard: float
     """When its VM last asked for it."""
@@ -73,7 +73,7 @@
         """Tell what it goes before."""
         if self.broken_off:
             return PriorityClass.BROKEN_OFF
-        return PriorityClass.IN_TIME if now <= self.ask.start_by else PriorityClass.LATE
+        return PriorityClass.IN_TIME if now <= self.request.start_by else PriorityClass.LATE
 
 
 @attrs.define(kw_only=True)
