--- a/lagoonlever/decisions/admission/prompt_queue.py
+++ b/lagoonlever/decisions/admission/prompt_queue.py
@@ -64,7 +64,7 @@
 
     prompt_id: QueuedPromptId
     request: CapacityRequest
-    asked: float
+    enqueued_at: float
     heard: float
     """When its VM last asked for it."""
     broken_off: bool = False
--- a/lagoonlever/tests/room_line_machine_tests.py
+++ b/lagoonlever/tests/room_line_machine_tests.py
@@ -142,7 +142,7 @@
         place = self.place_of(asker)
         line = self.lines[asker.keeper]
         line.enqueue_or_renew(
-            QueuedPrompt(prompt_id=place, request=room, asked=self.now, heard=self.now)
+            QueuedPrompt(prompt_id=place, request=room, enqueued_at=self.now, heard=self.now)
         )
         asker.heard_at = self.now
 
@@ -169,7 +169,9 @@
             start_by=aim_s,
             end_by=CALLER_S,
         )
-        self.line.enqueue_or_renew(QueuedPrompt(prompt_id=place, request=ask, asked=0.0, heard=0.0))
+        self.line.enqueue_or_renew(
+            QueuedPrompt(prompt_id=place, request=ask, enqueued_at=0.0, heard=0.0)
+        )
 
     @rule()
     def engine_is_ready(self) -> None:
