--- a/lagoonlever/decisions/admission/prompt_queue.py
+++ b/lagoonlever/decisions/admission/prompt_queue.py
@@ -65,7 +65,7 @@
     prompt_id: QueuedPromptId
     request: CapacityRequest
     enqueued_at: float
-    heard: float
+    renewed_at: float
     """When its VM last asked for it."""
     broken_off: bool = False
 
@@ -143,10 +143,10 @@
         """
         known = self._waiting.get(asked.prompt_id)
         if known is not None:
-            known.heard = asked.heard
+            known.heard = asked.renewed_at
             return False
         self._waiting[asked.prompt_id] = asked
-        self._rate.busy(asked.heard)
+        self._rate.busy(asked.renewed_at)
         return True
 
     def remove(self, place: QueuedPromptId) -> None:
--- a/lagoonlever/gateway/room_desk.py
+++ b/lagoonlever/gateway/room_desk.py
@@ -166,7 +166,11 @@
             end_by=now + need.end_in_s - reading_s - making_s,
         )
         return QueuedPrompt(
-            prompt_id=place, request=room, enqueued_at=now, heard=now, broken_off=need.broken_off
+            prompt_id=place,
+            request=room,
+            enqueued_at=now,
+            renewed_at=now,
+            broken_off=need.broken_off,
         )
 
     def _serve(self, service: str, line: PromptQueue) -> None:
--- a/lagoonlever/tests/room_line_machine_tests.py
+++ b/lagoonlever/tests/room_line_machine_tests.py
@@ -142,7 +142,7 @@
         place = self.place_of(asker)
         line = self.lines[asker.keeper]
         line.enqueue_or_renew(
-            QueuedPrompt(prompt_id=place, request=room, enqueued_at=self.now, heard=self.now)
+            QueuedPrompt(prompt_id=place, request=room, enqueued_at=self.now, renewed_at=self.now)
         )
         asker.heard_at = self.now
 
@@ -170,7 +170,7 @@
             end_by=CALLER_S,
         )
         self.line.enqueue_or_renew(
-            QueuedPrompt(prompt_id=place, request=ask, enqueued_at=0.0, heard=0.0)
+            QueuedPrompt(prompt_id=place, request=ask, enqueued_at=0.0, renewed_at=0.0)
         )
 
     @rule()
--- a/lagoonlever/tests/room_line_tests.py
+++ b/lagoonlever/tests/room_line_tests.py
@@ -38,7 +38,9 @@
         end_by=came + CALLER_S - READING_S,
     )
     place = QueuedPromptId(vm=f"vm-{number}", number=number)
-    return QueuedPrompt(prompt_id=place, request=ask, enqueued_at=at, heard=at, broken_off=broken)
+    return QueuedPrompt(
+        prompt_id=place, request=ask, enqueued_at=at, renewed_at=at, broken_off=broken
+    )
 
 
 def line_of(*all_waiting: QueuedPrompt) -> PromptQueue:
