--- a/lagoonlever/decisions/admission/prompt_queue.py
+++ b/lagoonlever/decisions/admission/prompt_queue.py
@@ -67,11 +67,11 @@
     enqueued_at: float
     renewed_at: float
     """When its VM last asked for it."""
-    broken_off: bool = False
+    interrupted: bool = False
 
     def turn(self, now: float) -> PriorityClass:
         """Tell what it goes before."""
-        if self.broken_off:
+        if self.interrupted:
             return PriorityClass.BROKEN_OFF
         return PriorityClass.IN_TIME if now <= self.request.start_by else PriorityClass.LATE
 
--- a/lagoonlever/gateway/room_desk.py
+++ b/lagoonlever/gateway/room_desk.py
@@ -170,7 +170,7 @@
             request=room,
             enqueued_at=now,
             renewed_at=now,
-            broken_off=need.broken_off,
+            interrupted=need.broken_off,
         )
 
     def _serve(self, service: str, line: PromptQueue) -> None:
--- a/lagoonlever/tests/room_line_tests.py
+++ b/lagoonlever/tests/room_line_tests.py
@@ -39,7 +39,7 @@
     )
     place = QueuedPromptId(vm=f"vm-{number}", number=number)
     return QueuedPrompt(
-        prompt_id=place, request=ask, enqueued_at=at, renewed_at=at, broken_off=broken
+        prompt_id=place, request=ask, enqueued_at=at, renewed_at=at, interrupted=broken
     )
 
 
