--- a/lagoonlever/decisions/admission/prompt_queue.py
+++ b/lagoonlever/decisions/admission/prompt_queue.py
@@ -69,7 +69,7 @@
     """When its VM last asked for it."""
     interrupted: bool = False
 
-    def turn(self, now: float) -> PriorityClass:
+    def priority_class(self, now: float) -> PriorityClass:
         """Tell what it goes before."""
         if self.interrupted:
             return PriorityClass.BROKEN_OFF
