--- a/lagoonlever/decisions/admission/prompt_queue.py
+++ b/lagoonlever/decisions/admission/prompt_queue.py
@@ -21,7 +21,7 @@
 
 from lagoonlever.decisions.admission.capacity import RejectedWithRetryAfter, CapacityRequest
 
-RENEWED_WITHIN_S = 0.75
+RENEWAL_TIMEOUT_S = 0.75
 """A prompt that its VM has not asked for again within this time is dropped."""
 OTHERS_FIRST = 3
 """Places that go past those of lower rank, before one of them is next."""
@@ -157,7 +157,7 @@
 
     def expire(self, now: float) -> tuple[QueuedPrompt, ...]:
         """Take out, and give, those whose VM was not heard of late."""
-        silent = tuple(w for w in self._waiting.values() if now - w.heard > RENEWED_WITHIN_S)
+        silent = tuple(w for w in self._waiting.values() if now - w.heard > RENEWAL_TIMEOUT_S)
         for waiting in silent:
             self.remove(waiting.place)
         return silent
--- a/lagoonlever/gateway/room_desk.py
+++ b/lagoonlever/gateway/room_desk.py
@@ -19,7 +19,7 @@
 )
 from lagoonlever.decisions.admission.prompt_queue import (
     LEAST_RETURN_S,
-    RENEWED_WITHIN_S,
+    RENEWAL_TIMEOUT_S,
     QueuedPromptId,
     PromptQueue,
     PriorityClass,
@@ -107,7 +107,7 @@
         now, service = self._timers.now, asked.ask.service
         place = QueuedPromptId(vm=vm, number=asked.number)
         given = self._given.get(place)
-        if given is not None and now - given.at <= RENEWED_WITHIN_S:
+        if given is not None and now - given.at <= RENEWAL_TIMEOUT_S:
             reply(given.told)
             return
         line = self._lines.setdefault(service, PromptQueue())
@@ -258,7 +258,7 @@
         """Tell the last of a question, and keep it for as long as it may be asked again."""
         now = self._timers.now
         for former, given in list(self._given.items()):
-            if now - given.at <= RENEWED_WITHIN_S:
+            if now - given.at <= RENEWAL_TIMEOUT_S:
                 break
             del self._given[former]
         self._given[place] = _Given(told=told, at=now)
--- a/lagoonlever/tests/room_asker_tests.py
+++ b/lagoonlever/tests/room_asker_tests.py
@@ -12,7 +12,7 @@
 from lagoonlever.bench.local_fleet import Fleet, run_fleet, start_many
 from lagoonlever.bench.placing_fleet import MEMORY, PROMPT, SERVICE, PlacingVm, placing_fleet
 from lagoonlever.decisions.admission.capacity import RejectedWithRetryAfter
-from lagoonlever.decisions.admission.prompt_queue import RENEWED_WITHIN_S
+from lagoonlever.decisions.admission.prompt_queue import RENEWAL_TIMEOUT_S
 from lagoonlever.decisions.fleet.queue_coordinators import queue_coordinators
 from lagoonlever.decisions.settings.configuration import (
     Configuration,
@@ -184,7 +184,7 @@
         told: list[LineTold] = []
         keeper.desk.ask(asked, vm="vm-gone", reply=told.append)
         assert [each.waits is not None for each in told] == [True]
-        await trio.sleep(RENEWED_WITHIN_S + 0.1)
+        await trio.sleep(RENEWAL_TIMEOUT_S + 0.1)
         room.free(0)
         await trio.sleep(0.1)
         assert len(told) == 1
@@ -241,7 +241,7 @@
         desk = keeper.desk
         asked = LineAsk(number=7, reply_to=vm.vm.bus.address, ask=ask_of("r1"), need=need())
         desk.ask(asked, vm=vm.name, reply=told.append)
-        await trio.sleep(RENEWED_WITHIN_S + 0.1)
+        await trio.sleep(RENEWAL_TIMEOUT_S + 0.1)
         desk.ask(attrs.evolve(asked, ask=ask_of("r2")), vm=vm.name, reply=told.append)
         assert len(told) == 2
         assert told[0] is not told[1]
--- a/lagoonlever/tests/room_line_machine_tests.py
+++ b/lagoonlever/tests/room_line_machine_tests.py
@@ -9,7 +9,7 @@
 from lagoonlever.decisions.admission.capacity import CapacityRequest
 from lagoonlever.decisions.admission.prompt_queue import (
     OTHERS_FIRST,
-    RENEWED_WITHIN_S,
+    RENEWAL_TIMEOUT_S,
     QueuedPromptId,
     PromptQueue,
     QueuedPrompt,
@@ -109,14 +109,14 @@
     @invariant()
     def nobody_who_asks_is_forgotten(self) -> None:
         for asker in self.waiting:
-            if asker.heard_at is not None and self.now - asker.heard_at <= RENEWED_WITHIN_S:
+            if asker.heard_at is not None and self.now - asker.heard_at <= RENEWAL_TIMEOUT_S:
                 assert self.place_of(asker) in self.lines[asker.keeper]
 
     @invariant()
     def who_is_silent_is_dropped(self) -> None:
         for line in self.lines:
             line.expire(self.now)
-            assert all(self.now - w.heard <= RENEWED_WITHIN_S for w in line.waiting)
+            assert all(self.now - w.heard <= RENEWAL_TIMEOUT_S for w in line.waiting)
 
     def _check_order(self, ordered: list[QueuedPrompt]) -> None:
         """Within a rank, of those that can be on time, who must start sooner goes first."""
--- a/lagoonlever/tests/room_line_tests.py
+++ b/lagoonlever/tests/room_line_tests.py
@@ -5,7 +5,7 @@
 from lagoonlever.decisions.admission.capacity import CapacityRequest
 from lagoonlever.decisions.admission.prompt_queue import (
     OTHERS_FIRST,
-    RENEWED_WITHIN_S,
+    RENEWAL_TIMEOUT_S,
     STALLED_S,
     QueuedPromptId,
     PromptQueue,
@@ -144,9 +144,9 @@
 def test_who_is_not_asked_for_again_is_dropped() -> None:
     """Guards against places for VMs that are dead, or that ask elsewhere."""
     line = line_of(waiting(1), waiting(2))
-    again = waiting(2, at=RENEWED_WITHIN_S)
+    again = waiting(2, at=RENEWAL_TIMEOUT_S)
     assert not line.enqueue_or_renew(again)
-    silent = line.expire(RENEWED_WITHIN_S + 0.1)
+    silent = line.expire(RENEWAL_TIMEOUT_S + 0.1)
     assert [each.ask.request for each in silent] == ["r001"]
     assert len(line) == 1
 
