--- a/lagoonlever/decisions/admission/prompt_queue.py
+++ b/lagoonlever/decisions/admission/prompt_queue.py
@@ -36,7 +36,7 @@
 """The same in prompts that the engines could have read, where they are few or slow."""
 SURELY = 0.8
 """Of an expected wait: engines that were lost come back, and some callers go away."""
-LEAST_RETURN_S = 0.5
+MIN_RETRY_AFTER_S = 0.5
 MOST_RETURN_PART = 1 / 3
 """Of the caller's time that is left; by then an answer still has time to be made."""
 
@@ -211,10 +211,10 @@
         start_by = waiting.ask.start_by if in_time else waiting.ask.end_by
         if now + SURELY * ahead / per_s <= start_by:
             return None
-        longest_s = max(LEAST_RETURN_S, MOST_RETURN_PART * (waiting.ask.end_by - now))
+        longest_s = max(MIN_RETRY_AFTER_S, MOST_RETURN_PART * (waiting.ask.end_by - now))
         return RejectedWithRetryAfter(
             detail=f"{ahead} prompts go first, and engines begin {per_s:.1f} a second",
-            retry_after_s=min(longest_s, max(LEAST_RETURN_S, len(ordered) / per_s)),
+            retry_after_s=min(longest_s, max(MIN_RETRY_AFTER_S, len(ordered) / per_s)),
         )
 
     def count_ahead(self, place: QueuedPromptId) -> int:
--- a/lagoonlever/gateway/room_desk.py
+++ b/lagoonlever/gateway/room_desk.py
@@ -18,7 +18,7 @@
     QueuedForCapacity,
 )
 from lagoonlever.decisions.admission.prompt_queue import (
-    LEAST_RETURN_S,
+    MIN_RETRY_AFTER_S,
     RENEWAL_TIMEOUT_S,
     QueuedPromptId,
     PromptQueue,
@@ -333,4 +333,4 @@
 
 def _time_over() -> RejectedWithRetryAfter:
     detail = "its answer could not end in its caller's time any more"
-    return RejectedWithRetryAfter(detail=detail, retry_after_s=LEAST_RETURN_S)
+    return RejectedWithRetryAfter(detail=detail, retry_after_s=MIN_RETRY_AFTER_S)
