--- a/lagoonlever/decisions/admission/prompt_queue.py
+++ b/lagoonlever/decisions/admission/prompt_queue.py
@@ -238,6 +238,6 @@
         ]
 
 
-def reading_rate(engines: int, reading_s: float) -> float:
+def max_prefills_per_s(engines: int, reading_s: float) -> float:
     """Give the prompts a second that so many engines can read."""
     return engines / reading_s if reading_s > 0 else math.inf
--- a/lagoonlever/decisions/streams/run_placement.py
+++ b/lagoonlever/decisions/streams/run_placement.py
@@ -19,7 +19,7 @@
 
 from lagoonlever.decisions.admission.prompt_admission import admits, most_share
 from lagoonlever.decisions.admission.retry_window import RetryWindow
-from lagoonlever.decisions.admission.prompt_queue import reading_rate
+from lagoonlever.decisions.admission.prompt_queue import max_prefills_per_s
 from lagoonlever.decisions.engines.engine_book import EngineBook
 from lagoonlever.decisions.engines.uneven_engines import UnevenChoice
 from lagoonlever.decisions.settings.configuration import EngineLimits
@@ -141,7 +141,7 @@
     """Give the prompts a second that the engines of a service can read that aren't avoided."""
     avoidance = view.book.avoidance
     calm = [e for e in view.targets.serving(service) if not avoidance.is_avoided(e.id, now)]
-    return reading_rate(len(calm), view.book.paces.usual_reading_s(service))
+    return max_prefills_per_s(len(calm), view.book.paces.usual_reading_s(service))
 
 
 def reserved_run(ask: RunAsk, placed: Placed, *, vm: str) -> BookedRun:
