--- a/lagoonlever/decisions/admission/prompt_admission.py
+++ b/lagoonlever/decisions/admission/prompt_admission.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class ReadingLoad:
+class PrefillLoad:
     """What engines of a service were given to read within the window."""
 
     prompts: int
@@ -62,7 +62,7 @@
     without="every prompt is read, sooner or later",
     plain=gives(True),
 )
-def admits(load: ReadingLoad, *, most: float) -> bool:
+def admits(load: PrefillLoad, *, most: float) -> bool:
     """Tell whether one more prompt leaves the others time to end."""
     return load.prompts < LEAST_PROMPTS or load.share <= most
 
--- a/lagoonlever/decisions/engines/engine_book.py
+++ b/lagoonlever/decisions/engines/engine_book.py
@@ -17,7 +17,7 @@
 
 import attrs
 
-from lagoonlever.decisions.admission.prompt_admission import ReadingLoad
+from lagoonlever.decisions.admission.prompt_admission import PrefillLoad
 from lagoonlever.decisions.engines.copy_room import copies_most, risk_of_loss
 from lagoonlever.decisions.engines.engine_avoidance import LOSSES_WINDOW_S, EngineAvoidance
 from lagoonlever.decisions.engines.engine_loads import (
@@ -257,7 +257,7 @@
         here_s = self._ahead_s(record, now) + usual_s * FLOWING_COST * load.flowing
         return best_s + MOVE_GAIN * usual_s < here_s
 
-    def reading_load(self, service: str, *, engines: int, now: float) -> ReadingLoad:
+    def reading_load(self, service: str, *, engines: int, now: float) -> PrefillLoad:
         """Give what a service's engines, so many now, were given to read of late by all VMs."""
         token_s = self.paces.reading_s(service, "", 1, now)
         return self._reading.load(service, engines=engines, token_s=token_s, now=now)
--- a/lagoonlever/decisions/engines/reading_window.py
+++ b/lagoonlever/decisions/engines/reading_window.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from lagoonlever.decisions.admission.prompt_admission import WINDOW_S, ReadingLoad
+from lagoonlever.decisions.admission.prompt_admission import WINDOW_S, PrefillLoad
 
 
 @attrs.define(kw_only=True)
@@ -34,7 +34,7 @@
         window.prompts.append((now, tokens))
         window.forget(now)
 
-    def load(self, service: str, *, engines: int, token_s: float, now: float) -> ReadingLoad:
+    def load(self, service: str, *, engines: int, token_s: float, now: float) -> PrefillLoad:
         """Give the load, with so many engines there now and so long for a token of a prompt.
 
         The most engines within the window count: those of a data centre that crashes are
@@ -46,7 +46,7 @@
         most_engines = max(1, *(count for _, count in window.engines))
         tokens = sum(each for _, each in window.prompts)
         share = tokens * token_s / (WINDOW_S * most_engines)
-        return ReadingLoad(prompts=len(window.prompts), share=share)
+        return PrefillLoad(prompts=len(window.prompts), share=share)
 
     def _window(self, service: str) -> _ServiceWindow:
         if service not in self._services:
