--- a/lagoonlever/bench/stream_day_model.py
+++ b/lagoonlever/bench/stream_day_model.py
@@ -24,7 +24,7 @@
     DayPolicy,
     ModelStream,
 )
-from lagoonlever.decisions.admission.prompt_admission import admits, come_back_s, most_share
+from lagoonlever.decisions.admission.prompt_admission import admits, come_back_s, max_prefill_share
 from lagoonlever.decisions.engines.engine_book import EngineBook
 from lagoonlever.decisions.settings.configuration import EngineLimits
 from lagoonlever.decisions.streams.booked_runs import BookedRun, RunCopy
@@ -210,7 +210,7 @@
         making_s = self._book.paces.usual_making_s(SERVICE)
         if making_s is None:
             return False
-        most = most_share(
+        most = max_prefill_share(
             making_s=making_s,
             reading_s=self._book.paces.usual_reading_s(SERVICE),
             allowed_s=self._plan.deadline_s,
--- a/lagoonlever/decisions/admission/prompt_admission.py
+++ b/lagoonlever/decisions/admission/prompt_admission.py
@@ -44,7 +44,9 @@
     """Of the engines' time; above 1 their queues grow."""
 
 
-def most_share(*, making_s: float, reading_s: float, allowed_s: float, slowdown: float) -> float:
+def max_prefill_share(
+    *, making_s: float, reading_s: float, allowed_s: float, slowdown: float
+) -> float:
     """Give the part of the engines' time that may go into reading.
 
     ``making_s`` and ``reading_s`` are what a usual answer and its prompt take on an engine
--- a/lagoonlever/decisions/streams/run_placement.py
+++ b/lagoonlever/decisions/streams/run_placement.py
@@ -17,7 +17,7 @@
 
 import attrs
 
-from lagoonlever.decisions.admission.prompt_admission import admits, most_share
+from lagoonlever.decisions.admission.prompt_admission import admits, max_prefill_share
 from lagoonlever.decisions.admission.retry_window import RetryWindow
 from lagoonlever.decisions.admission.prompt_queue import max_prefills_per_s
 from lagoonlever.decisions.engines.engine_book import EngineBook
@@ -215,7 +215,7 @@
     making_s = paces.usual_making_s(ask.service)
     if making_s is None:
         return None
-    most = most_share(
+    most = max_prefill_share(
         making_s=making_s,
         reading_s=paces.usual_reading_s(ask.service),
         allowed_s=ask.allowed_s,
--- a/lagoonlever/tests/prompt_admission_tests.py
+++ b/lagoonlever/tests/prompt_admission_tests.py
@@ -13,7 +13,7 @@
     PrefillLoad,
     admits,
     come_back_s,
-    most_share,
+    max_prefill_share,
 )
 from lagoonlever.tests.engine_paces_tests import PROMPT, SERVICE, book, run, seen
 from lagoonlever.tests.gateway_site import GatewaySite, run_site
@@ -21,7 +21,9 @@
 
 def most(times: float) -> float:
     """Give the bound on engines that take so many times as long as some others."""
-    return most_share(making_s=3.9 * times, reading_s=1.1 * times, allowed_s=25.0, slowdown=7.0)
+    return max_prefill_share(
+        making_s=3.9 * times, reading_s=1.1 * times, allowed_s=25.0, slowdown=7.0
+    )
 
 
 def test_engines_that_end_an_answer_soon_may_read_for_most_of_their_time() -> None:
@@ -35,7 +37,9 @@
 
 
 def test_where_prompts_slow_nobody_down_there_is_no_bound() -> None:
-    assert most_share(making_s=4.0, reading_s=1.0, allowed_s=25.0, slowdown=1.0) == float("inf")
+    assert max_prefill_share(making_s=4.0, reading_s=1.0, allowed_s=25.0, slowdown=1.0) == float(
+        "inf"
+    )
 
 
 def test_a_few_prompts_tell_no_share() -> None:
