--- a/lagoonlever/bench/stream_day_model.py
+++ b/lagoonlever/bench/stream_day_model.py
@@ -24,7 +24,11 @@
     DayPolicy,
     ModelStream,
 )
-from lagoonlever.decisions.admission.prompt_admission import admits, come_back_s, max_prefill_share
+from lagoonlever.decisions.admission.prompt_admission import (
+    admits_prompt,
+    come_back_s,
+    max_prefill_share,
+)
 from lagoonlever.decisions.engines.engine_book import EngineBook
 from lagoonlever.decisions.settings.configuration import EngineLimits
 from lagoonlever.decisions.streams.booked_runs import BookedRun, RunCopy
@@ -217,7 +221,7 @@
             slowdown=self._book.paces.slowdown(SERVICE),
         )
         load = self._book.reading_load(SERVICE, engines=len(self._listed), now=now)
-        if admits(load, most=most):
+        if admits_prompt(load, most=most):
             return False
         stream.refused += 1
         if stream.refused <= self._plan.caller_returns:
--- a/lagoonlever/decisions/admission/prompt_admission.py
+++ b/lagoonlever/decisions/admission/prompt_admission.py
@@ -64,7 +64,7 @@
     without="every prompt is read, sooner or later",
     plain=gives(True),
 )
-def admits(load: PrefillLoad, *, most: float) -> bool:
+def admits_prompt(load: PrefillLoad, *, most: float) -> bool:
     """Tell whether one more prompt leaves the others time to end."""
     return load.prompts < LEAST_PROMPTS or load.share <= most
 
--- a/lagoonlever/decisions/streams/run_placement.py
+++ b/lagoonlever/decisions/streams/run_placement.py
@@ -17,7 +17,7 @@
 
 import attrs
 
-from lagoonlever.decisions.admission.prompt_admission import admits, max_prefill_share
+from lagoonlever.decisions.admission.prompt_admission import admits_prompt, max_prefill_share
 from lagoonlever.decisions.admission.retry_window import RetryWindow
 from lagoonlever.decisions.admission.prompt_queue import max_prefills_per_s
 from lagoonlever.decisions.engines.engine_book import EngineBook
@@ -223,6 +223,6 @@
     )
     engines = len(view.targets.serving(ask.service))
     load = view.book.reading_load(ask.service, engines=engines, now=now)
-    if admits(load, most=most):
+    if admits_prompt(load, most=most):
         return None
     return Overloaded(share=load.share, most=most)
--- a/lagoonlever/tests/prompt_admission_tests.py
+++ b/lagoonlever/tests/prompt_admission_tests.py
@@ -11,7 +11,7 @@
     LEAST_PROMPTS,
     WINDOW_S,
     PrefillLoad,
-    admits,
+    admits_prompt,
     come_back_s,
     max_prefill_share,
 )
@@ -43,9 +43,9 @@
 
 
 def test_a_few_prompts_tell_no_share() -> None:
-    assert admits(PrefillLoad(prompts=LEAST_PROMPTS - 1, share=5.0), most=0.5)
-    assert not admits(PrefillLoad(prompts=LEAST_PROMPTS, share=0.6), most=0.5)
-    assert admits(PrefillLoad(prompts=LEAST_PROMPTS, share=0.4), most=0.5)
+    assert admits_prompt(PrefillLoad(prompts=LEAST_PROMPTS - 1, share=5.0), most=0.5)
+    assert not admits_prompt(PrefillLoad(prompts=LEAST_PROMPTS, share=0.6), most=0.5)
+    assert admits_prompt(PrefillLoad(prompts=LEAST_PROMPTS, share=0.4), most=0.5)
 
 
 def test_callers_are_told_different_times_to_come_back() -> None:
