--- a/lagoonlever/bench/stream_day_model.py
+++ b/lagoonlever/bench/stream_day_model.py
@@ -26,7 +26,7 @@
 )
 from lagoonlever.decisions.admission.prompt_admission import (
     admits_prompt,
-    come_back_s,
+    random_retry_after_s,
     max_prefill_share,
 )
 from lagoonlever.decisions.engines.engine_book import EngineBook
@@ -225,7 +225,7 @@
             return False
         stream.refused += 1
         if stream.refused <= self._plan.caller_returns:
-            self._at(now + come_back_s(self._rng), partial(self._ask, stream))
+            self._at(now + random_retry_after_s(self._rng), partial(self._ask, stream))
         return True
 
     def _place(self, stream: ModelStream, step: Place, now: float) -> None:
--- a/lagoonlever/decisions/admission/prompt_admission.py
+++ b/lagoonlever/decisions/admission/prompt_admission.py
@@ -69,6 +69,6 @@
     return load.prompts < LEAST_PROMPTS or load.share <= most
 
 
-def come_back_s(rng: random.Random) -> float:
+def random_retry_after_s(rng: random.Random) -> float:
     """Give when a caller that was refused is told to come back."""
     return rng.uniform(*COME_BACK_S)
--- a/lagoonlever/gateway/stream_admission.py
+++ b/lagoonlever/gateway/stream_admission.py
@@ -7,7 +7,7 @@
 import attrs
 import logbook
 
-from lagoonlever.decisions.admission.prompt_admission import come_back_s
+from lagoonlever.decisions.admission.prompt_admission import random_retry_after_s
 from lagoonlever.decisions.admission.capacity import RejectedWithRetryAfter
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS, gives
 from lagoonlever.decisions.streams.life import (
@@ -95,5 +95,5 @@
         return GiveUp(
             may_have_run=False,
             detail=f"engines read for {load.share:.0%} of their time already",
-            retry_after_s=come_back_s(self._rng),
+            retry_after_s=random_retry_after_s(self._rng),
         )
--- a/lagoonlever/tests/prompt_admission_tests.py
+++ b/lagoonlever/tests/prompt_admission_tests.py
@@ -12,7 +12,7 @@
     WINDOW_S,
     PrefillLoad,
     admits_prompt,
-    come_back_s,
+    random_retry_after_s,
     max_prefill_share,
 )
 from lagoonlever.tests.engine_paces_tests import PROMPT, SERVICE, book, run, seen
@@ -49,7 +49,7 @@
 
 
 def test_callers_are_told_different_times_to_come_back() -> None:
-    told = {come_back_s(random.Random(seed)) for seed in range(20)}
+    told = {random_retry_after_s(random.Random(seed)) for seed in range(20)}
     assert len(told) == 20
     assert all(COME_BACK_S[0] <= each <= COME_BACK_S[1] for each in told)
 
