--- a/lagoonlever/decisions/admission/prompt_admission.py
+++ b/lagoonlever/decisions/admission/prompt_admission.py
@@ -26,7 +26,7 @@
 
 WINDOW_S = 8.0
 """Over which reading is counted: some prompts of each engine, and less than an answer's life."""
-LEAST_PROMPTS = 20
+MIN_PROMPTS = 20
 """Of a window: fewer tell chance, and no share."""
 PART_OF_TIME = 0.8
 """Of its caller's time, what a usual answer may take: some meet a loss, or are longer."""
@@ -66,7 +66,7 @@
 )
 def admits_prompt(load: PrefillLoad, *, most: float) -> bool:
     """Tell whether one more prompt leaves the others time to end."""
-    return load.prompts < LEAST_PROMPTS or load.share <= most
+    return load.prompts < MIN_PROMPTS or load.share <= most
 
 
 def random_retry_after_s(rng: random.Random) -> float:
--- a/lagoonlever/tests/prompt_admission_tests.py
+++ b/lagoonlever/tests/prompt_admission_tests.py
@@ -8,7 +8,7 @@
 
 from lagoonlever.decisions.admission.prompt_admission import (
     COME_BACK_S,
-    LEAST_PROMPTS,
+    MIN_PROMPTS,
     WINDOW_S,
     PrefillLoad,
     admits_prompt,
@@ -43,9 +43,9 @@
 
 
 def test_a_few_prompts_tell_no_share() -> None:
-    assert admits_prompt(PrefillLoad(prompts=LEAST_PROMPTS - 1, share=5.0), most=0.5)
-    assert not admits_prompt(PrefillLoad(prompts=LEAST_PROMPTS, share=0.6), most=0.5)
-    assert admits_prompt(PrefillLoad(prompts=LEAST_PROMPTS, share=0.4), most=0.5)
+    assert admits_prompt(PrefillLoad(prompts=MIN_PROMPTS - 1, share=5.0), most=0.5)
+    assert not admits_prompt(PrefillLoad(prompts=MIN_PROMPTS, share=0.6), most=0.5)
+    assert admits_prompt(PrefillLoad(prompts=MIN_PROMPTS, share=0.4), most=0.5)
 
 
 def test_callers_are_told_different_times_to_come_back() -> None:
@@ -135,11 +135,11 @@
                 book.paces.read("engines", name, tokens=PROMPT, seconds=0.25, now=now)
                 book.paces.made("engines", name, token_s=0.004, now=now)
             book.paces.answered("engines", tokens=1_000, now=now)
-        for number in range(LEAST_PROMPTS + 4):
+        for number in range(MIN_PROMPTS + 4):
             book.begin(run(f"f{number}", "engine-0"), now)
             book.end(f"f{number}", now, whole=False)
         load = book.reading_load("engines", engines=len(site.engines), now=now)
-        assert load.prompts >= LEAST_PROMPTS and 0.2 < load.share < 0.3
+        assert load.prompts >= MIN_PROMPTS and 0.2 < load.share < 0.3
         got = await site.stream("p1", events=10, Deadline_Ms="4500")
         assert got.status == 200 and got.whole and got.is_events("p1", 1, 10)
 
--- a/lagoonlever/tests/run_placement_tests.py
+++ b/lagoonlever/tests/run_placement_tests.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from lagoonlever.decisions.admission.prompt_admission import LEAST_PROMPTS
+from lagoonlever.decisions.admission.prompt_admission import MIN_PROMPTS
 from lagoonlever.decisions.admission.retry_window import RetryWindow
 from lagoonlever.decisions.engines.engine_book import EngineBook
 from lagoonlever.decisions.settings.configuration import EngineLimits
@@ -167,11 +167,11 @@
     """Engines read without a pause; a stream that has begun must go on all the same."""
     seen = view(engine("e1", "a"))
     book = seen.book
-    for number in range(4 * LEAST_PROMPTS):
+    for number in range(4 * MIN_PROMPTS):
         ask = attrs.evolve(ASK, request=f"r-{number}", part=None)
         book.begin(booked(ask, Placed(engine="e1")), 0.1 * number)
         book.flows(ask.request, 0.1 * number + 1.0)
         book.end(ask.request, 0.1 * number + 2.0, whole=True, token_s=0.004, tokens=1_000)
-    now = 0.1 * 4 * LEAST_PROMPTS
+    now = 0.1 * 4 * MIN_PROMPTS
     assert isinstance(place_run(attrs.evolve(ASK, allowed_s=25.0), seen, now), Overloaded)
     assert isinstance(place_run(ASK, seen, now), Placed)
