--- a/lagoonlever/decisions/admission/retry_window.py
+++ b/lagoonlever/decisions/admission/retry_window.py
@@ -29,7 +29,7 @@
     _requests: deque[float] = attrs.field(factory=deque)
     _repeats: deque[float] = attrs.field(factory=deque)
 
-    def request(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """Count a request of a caller."""
         self._requests.append(now)
         self._forget(now)
--- a/lagoonlever/tests/retry_window_tests.py
+++ b/lagoonlever/tests/retry_window_tests.py
@@ -30,7 +30,7 @@
     now = 0.0
     for after_s, vm, fails in steps:
         now += after_s
-        windows[vm].request(now)
+        windows[vm].record_request(now)
         requests.append(now)
         while fails and windows[vm].take(now, vms=VMS):
             repeats.append(now)
@@ -55,7 +55,7 @@
     """
     heard = window()
     for _ in range(200):
-        heard.request(0.0)
+        heard.record_request(0.0)
     sent = 0
     while heard.allows(0.1, vms=1):
         heard.repeat(0.1)
