--- a/lagoonlever/decisions/admission/retry_window.py
+++ b/lagoonlever/decisions/admission/retry_window.py
@@ -34,7 +34,7 @@
         self._requests.append(now)
         self._forget(now)
 
-    def repeat(self, now: float) -> None:
+    def record_retry(self, now: float) -> None:
         """Count a repeat, of this VM or of another one."""
         self._repeats.append(now)
         self._forget(now)
@@ -58,7 +58,7 @@
         """Count one repeat if the window allows it."""
         if not self.allows(now, vms=vms):
             return False
-        self.repeat(now)
+        self.record_retry(now)
         return True
 
     def _forget(self, now: float) -> None:
--- a/lagoonlever/tests/retry_window_tests.py
+++ b/lagoonlever/tests/retry_window_tests.py
@@ -58,7 +58,7 @@
         heard.record_request(0.0)
     sent = 0
     while heard.allows(0.1, vms=1):
-        heard.repeat(0.1)
+        heard.record_retry(0.1)
         sent += 1
     assert 200 <= sent <= RATIO * 200 + SLACK
 
@@ -66,7 +66,7 @@
 def test_what_is_only_of_advantage_leaves_room() -> None:
     heard = window()
     while heard.allows(0.0, vms=1, part=0.5):
-        heard.repeat(0.0)
+        heard.record_retry(0.0)
     assert heard.allows(0.0, vms=1)
 
 
--- a/lagoonlever/tests/run_placement_tests.py
+++ b/lagoonlever/tests/run_placement_tests.py
@@ -119,7 +119,7 @@
     repeat = attrs.evolve(ASK, repeat=True)
     assert isinstance(place_run(repeat, seen, 0.0), Placed)
     for _ in range(5):
-        seen.window.repeat(0.0)
+        seen.window.record_retry(0.0)
     assert isinstance(place_run(repeat, seen, 0.0), BudgetSpent)
     assert isinstance(place_run(ASK, seen, 0.0), Placed)
 
