--- a/lagoonlever/decisions/admission/retry_window.py
+++ b/lagoonlever/decisions/admission/retry_window.py
@@ -39,7 +39,7 @@
         self._repeats.append(now)
         self._forget(now)
 
-    def take_back(self, at: float) -> None:
+    def cancel_retry(self, at: float) -> None:
         """Count a repeat no more that was counted at a time, and reached nobody."""
         if at in self._repeats:
             self._repeats.remove(at)
--- a/lagoonlever/tests/retry_window_tests.py
+++ b/lagoonlever/tests/retry_window_tests.py
@@ -74,6 +74,6 @@
     sliding = window()
     while sliding.take(0.0, vms=VMS):
         pass
-    sliding.take_back(0.0)
+    sliding.cancel_retry(0.0)
     assert sliding.take(0.0, vms=VMS)
     assert not sliding.take(0.0, vms=VMS)
