--- a/lagoonlever/decisions/admission/retry_window.py
+++ b/lagoonlever/decisions/admission/retry_window.py
@@ -54,7 +54,7 @@
         allowed = SAFETY * (self._ratio * len(self._requests) + self._slack / max(1, vms))
         return len(self._repeats) + 1 <= part * allowed
 
-    def take(self, now: float, *, vms: int) -> bool:
+    def try_record_retry(self, now: float, *, vms: int) -> bool:
         """Count one repeat if the window allows it."""
         if not self.allows(now, vms=vms):
             return False
--- a/lagoonlever/tests/retry_window_tests.py
+++ b/lagoonlever/tests/retry_window_tests.py
@@ -16,7 +16,7 @@
 
 def test_a_quiet_vm_may_repeat_its_share_of_the_slack() -> None:
     quiet = window()
-    taken = sum(quiet.take(0.0, vms=VMS) for _ in range(100))
+    taken = sum(quiet.try_record_retry(0.0, vms=VMS) for _ in range(100))
     assert 5 <= taken <= SLACK / VMS
 
 
@@ -32,7 +32,7 @@
         now += after_s
         windows[vm].record_request(now)
         requests.append(now)
-        while fails and windows[vm].take(now, vms=VMS):
+        while fails and windows[vm].try_record_retry(now, vms=VMS):
             repeats.append(now)
         recent = [at for at in repeats if now - at <= WINDOW_S]
         asked = [at for at in requests if now - at <= WINDOW_S]
@@ -41,10 +41,10 @@
 
 def test_the_window_slides() -> None:
     sliding = window()
-    while sliding.take(0.0, vms=VMS):
+    while sliding.try_record_retry(0.0, vms=VMS):
         pass
-    assert not sliding.take(WINDOW_S * 0.9, vms=VMS)
-    assert sliding.take(WINDOW_S * 1.1, vms=VMS)
+    assert not sliding.try_record_retry(WINDOW_S * 0.9, vms=VMS)
+    assert sliding.try_record_retry(WINDOW_S * 1.1, vms=VMS)
 
 
 def test_repeats_of_other_vms_count_too() -> None:
@@ -72,8 +72,8 @@
 
 def test_a_repeat_that_reached_nobody_is_counted_no_more() -> None:
     sliding = window()
-    while sliding.take(0.0, vms=VMS):
+    while sliding.try_record_retry(0.0, vms=VMS):
         pass
     sliding.cancel_retry(0.0)
-    assert sliding.take(0.0, vms=VMS)
-    assert not sliding.take(0.0, vms=VMS)
+    assert sliding.try_record_retry(0.0, vms=VMS)
+    assert not sliding.try_record_retry(0.0, vms=VMS)
