--- a/lagoonlever/decisions/admission/runners.py
+++ b/lagoonlever/decisions/admission/runners.py
@@ -105,7 +105,7 @@
         for name in [name for name in self._states if name not in known]:
             del self._states[name]
 
-    def started_again(self, name: str) -> None:
+    def record_restart(self, name: str) -> None:
         """Note that another process has a runner's id: what was learnt of it is void."""
         former = self._states.pop(name, None)
         if former is not None:
