--- a/lagoonlever/bench/lookups.py
+++ b/lagoonlever/bench/lookups.py
@@ -14,7 +14,7 @@
 import trio
 
 from lagoonlever.bench.report import Aim, BenchOptions, BenchResult, Rows, benchmark, column
-from lagoonlever.decisions.admission.runners import TARGET_S, Runners
+from lagoonlever.decisions.admission.runners import TARGET_LATENCY_S, Runners
 from lagoonlever.decisions.shares.budgets import FULL_RATIO, RetryBudget
 from lagoonlever.decisions.targets.targets import Target, TargetKind
 from lagoonlever.entry.services.answers import ComeBack
@@ -171,7 +171,7 @@
 
 async def _measure(load: Load, way: Way, seed: int) -> LookupRow:
     settings = ServiceSettings(
-        hedge=way is not Way.NONE, lookup_target_s=TARGET_S if load.limited else NEVER_S
+        hedge=way is not Way.NONE, lookup_target_s=TARGET_LATENCY_S if load.limited else NEVER_S
     )
     apps = [FakeApplication(options=load.application) for _ in range(RUNNERS)]
     tally = Tally()
--- a/lagoonlever/decisions/admission/runners.py
+++ b/lagoonlever/decisions/admission/runners.py
@@ -13,7 +13,7 @@
 
 from lagoonlever.decisions.shares.budgets import RetryBudget
 
-TARGET_S = 0.25
+TARGET_LATENCY_S = 0.25
 """Answers slower than this mean that a runner has more calls than it should."""
 LIMIT_CUT = 0.7
 
@@ -65,7 +65,7 @@
 
     _rng: random.Random
     _max_outstanding: int
-    _target_s: float = TARGET_S
+    _target_s: float = TARGET_LATENCY_S
     _new_budget: Callable[[], RetryBudget] = RetryBudget
     _states: dict[str, RunnerState] = attrs.field(factory=dict)
 
