--- a/lagoonlever/decisions/admission/limits.py
+++ b/lagoonlever/decisions/admission/limits.py
@@ -32,7 +32,7 @@
     return bounded * rng.uniform(1.0 - JITTER, 1.0 + JITTER)
 
 
-def after_rest_s(rest_s: float, rng: random.Random) -> float:
+def retry_after_pause_s(rest_s: float, rng: random.Random) -> float:
     """Give when a caller is to come back after a rest, later than it and apart from others."""
     spread_s = max(MIN_RETRY_AFTER_S, JITTER * rest_s)
     return min(rest_s, MAX_RETRY_AFTER_S) + rng.uniform(0.0, spread_s)
--- a/lagoonlever/gateway/target_words.py
+++ b/lagoonlever/gateway/target_words.py
@@ -8,7 +8,7 @@
 import attrs
 import logbook
 
-from lagoonlever.decisions.admission.limits import after_rest_s
+from lagoonlever.decisions.admission.limits import retry_after_pause_s
 from lagoonlever.decisions.targets.limit_permits import Denied, Granted, PermitOutcome
 from lagoonlever.decisions.targets.listed_target import ListedTarget
 from lagoonlever.decisions.targets.load_view import SentTicket
@@ -124,7 +124,7 @@
         """
         rest_s = self._all_rest_s(service)
         if rest_s:
-            return round(after_rest_s(rest_s, self._rng), 2)
+            return round(retry_after_pause_s(rest_s, self._rng), 2)
         return self._limits.come_back_s(service)
 
     def all_rest(self, service: str) -> bool:
