--- a/lagoonlever/decisions/admission/admission.py
+++ b/lagoonlever/decisions/admission/admission.py
@@ -12,7 +12,7 @@
 
 import attrs
 
-from lagoonlever.decisions.admission.limits import NodeLimits, overloaded
+from lagoonlever.decisions.admission.limits import NodeLimits, overloaded_outcome
 from lagoonlever.decisions.admission.queues import LeafQueue, Waiting
 from lagoonlever.decisions.shares.book import ShareBook
 from lagoonlever.decisions.shares.exchange import SumsNews
@@ -338,7 +338,7 @@
     def _overloaded(self, message: str, leaf: str, now: float) -> NotRun:
         queue = self._queue(leaf)
         drain_s = queue.expected_wait_s(len(queue), now)
-        return overloaded(message, drain_s=drain_s, rng=self._rng)
+        return overloaded_outcome(message, drain_s=drain_s, rng=self._rng)
 
     def _learn_rate(self, leaf: str) -> None:
         ended = self._means.get(leaf)
--- a/lagoonlever/decisions/admission/limits.py
+++ b/lagoonlever/decisions/admission/limits.py
@@ -38,7 +38,7 @@
     return min(rest_s, MAX_RETRY_AFTER_S) + rng.uniform(0.0, spread_s)
 
 
-def overloaded(message: str, *, drain_s: float, rng: random.Random) -> NotRun:
+def overloaded_outcome(message: str, *, drain_s: float, rng: random.Random) -> NotRun:
     """Give the final answer to a request that can't be served in its time."""
     if not math.isfinite(drain_s):
         drain_s = MAX_RETRY_AFTER_S
