--- a/lagoonlever/decisions/admission/admission.py
+++ b/lagoonlever/decisions/admission/admission.py
@@ -228,7 +228,7 @@
         """Tell everything next time, because a peer is new."""
         self._book.greet()
 
-    def due_news(self, now: float) -> SumsNews | None:
+    def due_update(self, now: float) -> SumsNews | None:
         """Give what is to be told to the peers now, or None."""
         return self._book.due_news(now)
 
--- a/lagoonlever/tests/admission_tests.py
+++ b/lagoonlever/tests/admission_tests.py
@@ -204,7 +204,7 @@
             self.now += min(STEP_S, seconds)
             for vm in self.vms:
                 vm.poll(self.now)
-                news = vm.admission.due_news(self.now)
+                news = vm.admission.due_update(self.now)
                 if news is None or vm.cut or (lose and step % 4 < lose):
                     continue
                 for other in self.vms:
@@ -332,7 +332,7 @@
     for step in range(333):
         admission.charge(ticket, 1.0, step * 0.1)
     admission.release(ticket, 34.0)
-    news = admission.due_news(40.0)
+    news = admission.due_update(40.0)
     assert news is not None
     assert [leaf.committed for leaf in news.leaves] == [333]
 
