--- a/lagoonlever/decisions/admission/admission.py
+++ b/lagoonlever/decisions/admission/admission.py
@@ -224,7 +224,7 @@
         """Count no silence of peers for a time in which this VM itself was paused."""
         self._book.excuse(paused_s)
 
-    def greet(self) -> None:
+    def request_full_update(self) -> None:
         """Tell everything next time, because a peer is new."""
         self._book.greet()
 
