--- a/lagoonlever/decisions/admission/admission.py
+++ b/lagoonlever/decisions/admission/admission.py
@@ -220,7 +220,7 @@
         """Take on a peer's sums."""
         self._book.receive(sender, news, now)
 
-    def excuse(self, paused_s: float) -> None:
+    def discount_pause(self, paused_s: float) -> None:
         """Count no silence of peers for a time in which this VM itself was paused."""
         self._book.excuse(paused_s)
 
