--- a/lagoonlever/decisions/admission/admission.py
+++ b/lagoonlever/decisions/admission/admission.py
@@ -13,7 +13,7 @@
 import attrs
 
 from lagoonlever.decisions.admission.limits import NodeLimits, overloaded_outcome
-from lagoonlever.decisions.admission.queues import LeafQueue, Waiting
+from lagoonlever.decisions.admission.queues import LeafQueue, QueuedRequest
 from lagoonlever.decisions.shares.book import ShareBook
 from lagoonlever.decisions.shares.exchange import SumsNews
 from lagoonlever.decisions.shares.shares import ShareTree, work_of
@@ -125,7 +125,7 @@
         self._rng = rng
         self._book = ShareBook(tree=tree, max_running=_max_running(limits))
         self._queues: dict[str, LeafQueue] = {}
-        self._resumes: deque[Waiting] = deque()
+        self._resumes: deque[QueuedRequest] = deque()
         self._resume_credit = MIN_RESUMES_PER_S
         self._polled_at: float | None = None
         self._checked_at: float | None = None
@@ -269,7 +269,7 @@
     def _enqueue(self, ask: AdmissionRequest, *, leaf: str, time_s: float, now: float) -> int:
         ticket = self._next_ticket
         self._next_ticket += 1
-        waiting = Waiting(ticket=ticket, queued_at=now, give_up_at=now + time_s)
+        waiting = QueuedRequest(ticket=ticket, queued_at=now, give_up_at=now + time_s)
         if ask.resume:
             self._resumes.append(waiting)
         else:
@@ -300,7 +300,7 @@
             decisions.append(self._start(self._leaves[waiting.ticket], waiting, now))
         return decisions
 
-    def _start(self, leaf: str, waiting: Waiting, now: float) -> Granted:
+    def _start(self, leaf: str, waiting: QueuedRequest, now: float) -> Granted:
         lag_s = self._book.lag_s(self._tree.chain(leaf)[0])
         filled = self._book.filled(leaf)
         ask = self._leave_queue(waiting.ticket, now)
@@ -330,7 +330,7 @@
             decisions.append(self._refuse(self._leaves[waiting.ticket], waiting, now))
         return decisions
 
-    def _refuse(self, leaf: str, waiting: Waiting, now: float) -> Refused:
+    def _refuse(self, leaf: str, waiting: QueuedRequest, now: float) -> Refused:
         self._leave_queue(waiting.ticket, now)
         message = f"no slot for {leaf} after {now - waiting.queued_at:.1f} s"
         return Refused(ticket=waiting.ticket, answer=self._overloaded(message, leaf, now))
--- a/lagoonlever/decisions/admission/queues.py
+++ b/lagoonlever/decisions/admission/queues.py
@@ -15,7 +15,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Waiting:
+class QueuedRequest:
     """One queued request; it must start by ``give_up_at`` (monotonic seconds)."""
 
     ticket: int
@@ -29,13 +29,13 @@
 
     entitled_rate: float | None = None
     """Starts a second by the leaf's share and how long its requests run; None if not known."""
-    _waiting: deque[Waiting] = attrs.field(factory=deque)
+    _waiting: deque[QueuedRequest] = attrs.field(factory=deque)
     _starts: float = 0.0
     _busy_s: float = 0.0
     _measured_at: float | None = None
 
     @property
-    def waiting(self) -> Iterator[Waiting]:
+    def waiting(self) -> Iterator[QueuedRequest]:
         """The queued requests, oldest first."""
         return iter(self._waiting)
 
@@ -51,12 +51,12 @@
         rate = max(measured, self.entitled_rate)
         return (position + 1) / rate if rate > 0 else math.inf
 
-    def push(self, waiting: Waiting) -> None:
+    def push(self, waiting: QueuedRequest) -> None:
         """Add a request behind the others."""
         self._measure(waiting.queued_at)
         self._waiting.append(waiting)
 
-    def start_next(self, now: float) -> Waiting:
+    def start_next(self, now: float) -> QueuedRequest:
         """Take out the oldest request because it starts, and learn the rate from that."""
         self._measure(now)
         self._starts += 1.0
@@ -70,10 +70,10 @@
                 return True
         return False
 
-    def remove_hopeless(self, now: float, *, patience: float) -> list[Waiting]:
+    def remove_hopeless(self, now: float, *, patience: float) -> list[QueuedRequest]:
         """Take out what is past its time, or whose expected wait is ``patience`` times its time."""
-        removed: list[Waiting] = []
-        kept: deque[Waiting] = deque()
+        removed: list[QueuedRequest] = []
+        kept: deque[QueuedRequest] = deque()
         for waiting in self._waiting:
             left_s = waiting.give_up_at - now
             hopeless = left_s <= 0 or self.expected_wait_s(len(kept), now) > patience * left_s
--- a/lagoonlever/tests/admission_tests.py
+++ b/lagoonlever/tests/admission_tests.py
@@ -18,7 +18,7 @@
     Refused,
 )
 from lagoonlever.decisions.admission.limits import NodeLimits
-from lagoonlever.decisions.admission.queues import LeafQueue, Waiting
+from lagoonlever.decisions.admission.queues import LeafQueue, QueuedRequest
 from lagoonlever.decisions.shares.shares import ShareNode, ShareTree
 from lagoonlever.decisions.shares.slots import PoolReport
 from lagoonlever.identity import Incarnation
@@ -318,7 +318,7 @@
     """What can't start in its time is told so as soon as that is known, not at its end."""
     queue = LeafQueue(entitled_rate=0.5)
     for ticket in range(10):
-        queue.push(Waiting(ticket=ticket, queued_at=0.0, give_up_at=4.0))
+        queue.push(QueuedRequest(ticket=ticket, queued_at=0.0, give_up_at=4.0))
     hopeless = queue.remove_hopeless(0.1, patience=2.0)
     assert [waiting.ticket for waiting in hopeless] == [3, 4, 5, 6, 7, 8, 9]
 
