--- a/lagoonlever/decisions/admission/queues.py
+++ b/lagoonlever/decisions/admission/queues.py
@@ -70,7 +70,7 @@
                 return True
         return False
 
-    def remove_hopeless(self, now: float, *, patience: float) -> list[QueuedRequest]:
+    def remove_unservable(self, now: float, *, patience: float) -> list[QueuedRequest]:
         """Take out what is past its time, or whose expected wait is ``patience`` times its time."""
         removed: list[QueuedRequest] = []
         kept: deque[QueuedRequest] = deque()
--- a/lagoonlever/tests/admission_tests.py
+++ b/lagoonlever/tests/admission_tests.py
@@ -319,7 +319,7 @@
     queue = LeafQueue(entitled_rate=0.5)
     for ticket in range(10):
         queue.push(QueuedRequest(ticket=ticket, queued_at=0.0, give_up_at=4.0))
-    hopeless = queue.remove_hopeless(0.1, patience=2.0)
+    hopeless = queue.remove_unservable(0.1, patience=2.0)
     assert [waiting.ticket for waiting in hopeless] == [3, 4, 5, 6, 7, 8, 9]
 
 
