--- a/lagoonlever/decisions/admission/call_queue.py
+++ b/lagoonlever/decisions/admission/call_queue.py
@@ -14,7 +14,7 @@
 
 import attrs
 
-from lagoonlever.decisions.admission.line_runner import PLACE_KEPT_S, LineRunner, Place
+from lagoonlever.decisions.admission.line_runner import PLACE_KEPT_S, RunnerSlots, Place
 from lagoonlever.decisions.admission.capacity import (
     RejectedWithRetryAfter,
     CapacityRequest,
@@ -109,7 +109,7 @@
 class CallQueue:
     """The places of a group of runners; times are seconds of one monotonic clock."""
 
-    _runners: dict[str, LineRunner] = attrs.field(factory=dict)
+    _runners: dict[str, RunnerSlots] = attrs.field(factory=dict)
     _waiting: dict[str, _Waiter] = attrs.field(factory=dict)
     _news: list[QueueDecision] = attrs.field(factory=list)
     _work_s: float = FIRST_WORK_S
@@ -134,7 +134,7 @@
         """The calls that wait."""
         return len(self._waiting)
 
-    def runner(self, name: str) -> LineRunner | None:
+    def runner(self, name: str) -> RunnerSlots | None:
         """Give what is known of a runner."""
         return self._runners.get(name)
 
@@ -157,13 +157,13 @@
             del self._runners[name]
         for name, data_center in data_centers.items():
             if name not in self._runners:
-                self._runners[name] = LineRunner(name=name, data_center=data_center)
+                self._runners[name] = RunnerSlots(name=name, data_center=data_center)
 
     def record_restart(self, name: str) -> None:
         """Note that another process has a runner's id: what was known of it is void."""
         former = self._runners.pop(name, None)
         if former is not None:
-            self._runners[name] = LineRunner(name=name, data_center=former.data_center)
+            self._runners[name] = RunnerSlots(name=name, data_center=former.data_center)
 
     def request_slot(self, ask: SlotRequest, now: float) -> CapacityOutcome:
         """Decide for an attempt; the same one may ask again, and is given one place at most."""
@@ -321,7 +321,7 @@
             QueueDecision(request_id=request, outcome=outcome, waited_s=now - waiter.since)
         )
 
-    def _best(self, ask: SlotRequest, now: float, *, queued: int = 0) -> LineRunner | None:
+    def _best(self, ask: SlotRequest, now: float, *, queued: int = 0) -> RunnerSlots | None:
         """Give the runner at which the call ends first; near and idle ones on ties."""
         open_to = [each for each in self._runners.values() if each.name not in ask.avoid]
         free = [each for each in open_to if each.takes(now, work_s=self._work_s, queued=queued)]
@@ -331,13 +331,13 @@
         free = self._sound(free, repeatable=ask.room.repeatable)
         return min(free, key=lambda each: self._cost(each, ask, now), default=None)
 
-    def _cost(self, runner: LineRunner, ask: SlotRequest, now: float) -> tuple[bool, int, float]:
+    def _cost(self, runner: RunnerSlots, ask: SlotRequest, now: float) -> tuple[bool, int, float]:
         late = runner.is_late(now, work_s=self._work_s)
         pace = round(runner.slowness(now) / PACE_STEP)
         near = NEAR_SLACK if ask.data_center == runner.data_center else 0.0
         return (late, pace, (runner.busy(now) - near) / runner.slots)
 
-    def _sound(self, runners: list[LineRunner], *, repeatable: bool) -> list[LineRunner]:
+    def _sound(self, runners: list[RunnerSlots], *, repeatable: bool) -> list[RunnerSlots]:
         """Leave out runners that fail far more often than the best one."""
         if not runners:
             return runners
@@ -350,7 +350,7 @@
             return [each for each in runners if each not in sound]
         return sound or runners
 
-    def _better_waits(self, waiter: _Waiter, best: LineRunner, now: float) -> bool:
+    def _better_waits(self, waiter: _Waiter, best: RunnerSlots, now: float) -> bool:
         """Tell whether a faster runner that is full now would still end the call sooner."""
         pace = best.slowness(now)
         faster = [
@@ -368,16 +368,16 @@
         ends_sooner = wait_s + slowest * self._work_s < pace * self._work_s
         return ends_sooner and now + wait_s <= waiter.ask.room.start_by
 
-    def _give(self, ask: SlotRequest, runner: LineRunner, now: float) -> CapacityGranted:
+    def _give(self, ask: SlotRequest, runner: RunnerSlots, now: float) -> CapacityGranted:
         room = ask.room
         until = min(room.end_by, now + PLACE_KEPT_S)
         runner.give(Place(request=room.request, given_at=now, until=until))
         return CapacityGranted(target=runner.name)
 
-    def _given(self, request: str) -> LineRunner | None:
+    def _given(self, request: str) -> RunnerSlots | None:
         return next((each for each in self._runners.values() if request in each.places), None)
 
-    def _is_able(self, runner: LineRunner, now: float) -> bool:
+    def _is_able(self, runner: RunnerSlots, now: float) -> bool:
         return not runner.stalled and not runner.is_silent(now, work_s=self._work_s)
 
     def _in_trouble(self, name: str, now: float) -> bool:
@@ -405,7 +405,7 @@
         self._work_s += WORK_WEIGHT * (work_s - self._work_s)
         self._held_s += WORK_WEIGHT * (held_s - self._held_s)
 
-    def _per_s_of(self, runner: LineRunner, now: float) -> float:
+    def _per_s_of(self, runner: RunnerSlots, now: float) -> float:
         return runner.slots / (self._held_s * runner.slowness(now))
 
     def _count_ask(self, now: float) -> None:
--- a/lagoonlever/decisions/admission/line_runner.py
+++ b/lagoonlever/decisions/admission/line_runner.py
@@ -42,7 +42,7 @@
 
 
 @attrs.define(kw_only=True)
-class LineRunner:
+class RunnerSlots:
     """State of one process of a runner; counts are calls."""
 
     name: str
