--- a/lagoonlever/decisions/admission/call_queue.py
+++ b/lagoonlever/decisions/admission/call_queue.py
@@ -14,7 +14,7 @@
 
 import attrs
 
-from lagoonlever.decisions.admission.line_runner import PLACE_KEPT_S, RunnerSlots, Place
+from lagoonlever.decisions.admission.runner_slots import PLACE_KEPT_S, RunnerSlots, Place
 from lagoonlever.decisions.admission.capacity import (
     RejectedWithRetryAfter,
     CapacityRequest,
