--- a/lagoonlever/bench/call_places_model.py
+++ b/lagoonlever/bench/call_places_model.py
@@ -16,9 +16,9 @@
 
 from lagoonlever.decisions.admission.call_queue import CallEnd, CallQueue, SlotRequest
 from lagoonlever.decisions.admission.capacity import (
-    RejectedWithRetryAfter,
-    CapacityRequest,
     CapacityGranted,
+    CapacityRequest,
+    RejectedWithRetryAfter,
 )
 from lagoonlever.decisions.admission.runners import Runners
 from lagoonlever.decisions.targets.told_load import ToldLoad
--- a/lagoonlever/bench/stream_day_model.py
+++ b/lagoonlever/bench/stream_day_model.py
@@ -26,8 +26,8 @@
 )
 from lagoonlever.decisions.admission.prompt_admission import (
     admits_prompt,
-    random_retry_after_s,
     max_prefill_share,
+    random_retry_after_s,
 )
 from lagoonlever.decisions.engines.engine_book import EngineBook
 from lagoonlever.decisions.settings.configuration import EngineLimits
--- a/lagoonlever/decisions/admission/call_queue.py
+++ b/lagoonlever/decisions/admission/call_queue.py
@@ -14,14 +14,14 @@
 
 import attrs
 
-from lagoonlever.decisions.admission.runner_slots import PLACE_KEPT_S, RunnerSlots, Place
 from lagoonlever.decisions.admission.capacity import (
-    RejectedWithRetryAfter,
-    CapacityRequest,
     CapacityGranted,
     CapacityOutcome,
+    CapacityRequest,
     QueuedForCapacity,
+    RejectedWithRetryAfter,
 )
+from lagoonlever.decisions.admission.runner_slots import PLACE_KEPT_S, Place, RunnerSlots
 from lagoonlever.decisions.admission.runners import UNSOUND_EXCESS
 from lagoonlever.decisions.targets.told_load import ToldLoad
 
--- a/lagoonlever/decisions/admission/prompt_queue.py
+++ b/lagoonlever/decisions/admission/prompt_queue.py
@@ -19,7 +19,7 @@
 
 import attrs
 
-from lagoonlever.decisions.admission.capacity import RejectedWithRetryAfter, CapacityRequest
+from lagoonlever.decisions.admission.capacity import CapacityRequest, RejectedWithRetryAfter
 
 RENEWAL_TIMEOUT_S = 0.75
 """A prompt that its VM has not asked for again within this time is dropped."""
--- a/lagoonlever/decisions/streams/run_placement.py
+++ b/lagoonlever/decisions/streams/run_placement.py
@@ -18,8 +18,8 @@
 import attrs
 
 from lagoonlever.decisions.admission.prompt_admission import admits_prompt, max_prefill_share
-from lagoonlever.decisions.admission.retry_window import RetryWindow
 from lagoonlever.decisions.admission.prompt_queue import max_prefills_per_s
+from lagoonlever.decisions.admission.retry_window import RetryWindow
 from lagoonlever.decisions.engines.engine_book import EngineBook
 from lagoonlever.decisions.engines.uneven_engines import UnevenChoice
 from lagoonlever.decisions.settings.configuration import EngineLimits
--- a/lagoonlever/gateway/call_desk.py
+++ b/lagoonlever/gateway/call_desk.py
@@ -10,9 +10,9 @@
 
 from lagoonlever.decisions.admission.call_queue import CallEnd, CallQueue, QueueDecision
 from lagoonlever.decisions.admission.capacity import (
-    RejectedWithRetryAfter,
     CapacityGranted,
     CapacityOutcome,
+    RejectedWithRetryAfter,
 )
 from lagoonlever.decisions.targets.call_desks import groups_of
 from lagoonlever.gateway import events_calls as events
--- a/lagoonlever/gateway/call_places.py
+++ b/lagoonlever/gateway/call_places.py
@@ -15,9 +15,9 @@
 
 from lagoonlever.decisions.admission.call_queue import RENEW_INTERVAL_S, CallEnd
 from lagoonlever.decisions.admission.capacity import (
-    RejectedWithRetryAfter,
     CapacityGranted,
     QueuedForCapacity,
+    RejectedWithRetryAfter,
 )
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS, gives
 from lagoonlever.decisions.targets.call_desks import desks_of, groups_of
--- a/lagoonlever/gateway/repeatable_calls.py
+++ b/lagoonlever/gateway/repeatable_calls.py
@@ -5,9 +5,9 @@
 import attrs
 import trio
 
+from lagoonlever.decisions.admission.capacity import RejectedWithRetryAfter
 from lagoonlever.decisions.admission.hedging import HedgedCall, HedgeDelay, Send, Stop, Wait
 from lagoonlever.decisions.admission.retry_window import RetryWindow
-from lagoonlever.decisions.admission.capacity import RejectedWithRetryAfter
 from lagoonlever.decisions.admission.runners import Runners
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS, gives
 from lagoonlever.decisions.shares.budgets import RetryBudget
--- a/lagoonlever/gateway/room_desk.py
+++ b/lagoonlever/gateway/room_desk.py
@@ -13,17 +13,17 @@
 import trio
 
 from lagoonlever.decisions.admission.capacity import (
-    RejectedWithRetryAfter,
     CapacityRequest,
     QueuedForCapacity,
+    RejectedWithRetryAfter,
 )
 from lagoonlever.decisions.admission.prompt_queue import (
     MIN_RETRY_AFTER_S,
     RENEWAL_TIMEOUT_S,
-    QueuedPromptId,
-    PromptQueue,
     PriorityClass,
+    PromptQueue,
     QueuedPrompt,
+    QueuedPromptId,
 )
 from lagoonlever.decisions.streams.run_placement import (
     BEGINS_WITHIN_S,
--- a/lagoonlever/gateway/stream_admission.py
+++ b/lagoonlever/gateway/stream_admission.py
@@ -7,8 +7,8 @@
 import attrs
 import logbook
 
-from lagoonlever.decisions.admission.prompt_admission import random_retry_after_s
 from lagoonlever.decisions.admission.capacity import RejectedWithRetryAfter
+from lagoonlever.decisions.admission.prompt_admission import random_retry_after_s
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS, gives
 from lagoonlever.decisions.streams.life import (
     GiveUp,
--- a/lagoonlever/peers/messages_calls.py
+++ b/lagoonlever/peers/messages_calls.py
@@ -10,11 +10,11 @@
 
 from lagoonlever.decisions.admission.call_queue import CallEnd, SlotRequest
 from lagoonlever.decisions.admission.capacity import (
-    RejectedWithRetryAfter,
-    CapacityRequest,
     CapacityGranted,
     CapacityOutcome,
+    CapacityRequest,
     QueuedForCapacity,
+    RejectedWithRetryAfter,
 )
 from lagoonlever.decisions.targets.told_load import ToldLoad
 from lagoonlever.http.messages import Address
--- a/lagoonlever/peers/messages_line.py
+++ b/lagoonlever/peers/messages_line.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from lagoonlever.decisions.admission.capacity import RejectedWithRetryAfter, QueuedForCapacity
+from lagoonlever.decisions.admission.capacity import QueuedForCapacity, RejectedWithRetryAfter
 from lagoonlever.decisions.streams.run_placement import RunAsk
 from lagoonlever.http.messages import Address
 from lagoonlever.peers.messages import PEER
--- a/lagoonlever/tests/call_line_machine_tests.py
+++ b/lagoonlever/tests/call_line_machine_tests.py
@@ -12,10 +12,10 @@
     SlotRequest,
 )
 from lagoonlever.decisions.admission.capacity import (
-    RejectedWithRetryAfter,
-    CapacityRequest,
     CapacityGranted,
+    CapacityRequest,
     QueuedForCapacity,
+    RejectedWithRetryAfter,
 )
 from lagoonlever.decisions.targets.told_load import ToldLoad
 
--- a/lagoonlever/tests/call_line_tests.py
+++ b/lagoonlever/tests/call_line_tests.py
@@ -3,19 +3,19 @@
 from __future__ import annotations
 
 from lagoonlever.decisions.admission.call_queue import (
-    MOST_RETURN_S,
     MAX_QUEUED_PER_RUNNER,
+    MOST_RETURN_S,
     SILENT_S,
     CallEnd,
     CallQueue,
     SlotRequest,
 )
 from lagoonlever.decisions.admission.capacity import (
-    RejectedWithRetryAfter,
-    CapacityRequest,
     CapacityGranted,
     CapacityOutcome,
+    CapacityRequest,
     QueuedForCapacity,
+    RejectedWithRetryAfter,
 )
 from lagoonlever.decisions.targets.told_load import ToldLoad
 
--- a/lagoonlever/tests/prompt_admission_tests.py
+++ b/lagoonlever/tests/prompt_admission_tests.py
@@ -12,8 +12,8 @@
     WINDOW_S,
     PrefillLoad,
     admits_prompt,
-    random_retry_after_s,
     max_prefill_share,
+    random_retry_after_s,
 )
 from lagoonlever.tests.engine_paces_tests import PROMPT, SERVICE, book, run, seen
 from lagoonlever.tests.gateway_site import GatewaySite, run_site
--- a/lagoonlever/tests/room_line_machine_tests.py
+++ b/lagoonlever/tests/room_line_machine_tests.py
@@ -10,9 +10,9 @@
 from lagoonlever.decisions.admission.prompt_queue import (
     OTHERS_FIRST,
     RENEWAL_TIMEOUT_S,
-    QueuedPromptId,
     PromptQueue,
     QueuedPrompt,
+    QueuedPromptId,
 )
 
 PER_S = 2.0
--- a/lagoonlever/tests/room_line_tests.py
+++ b/lagoonlever/tests/room_line_tests.py
@@ -7,9 +7,9 @@
     OTHERS_FIRST,
     RENEWAL_TIMEOUT_S,
     STALLED_S,
-    QueuedPromptId,
     PromptQueue,
     QueuedPrompt,
+    QueuedPromptId,
 )
 
 URGENT_S, PATIENT_S = 4.0, 10.0
