--- a/lagoonlever/bench/call_places_model.py
+++ b/lagoonlever/bench/call_places_model.py
@@ -182,7 +182,7 @@
         self.line.retain(self._alive())
         for news in self.line.tick(self._now):
             self.messages += 1
-            self._tell(self.calls[int(news.request)], news.outcome)
+            self._tell(self.calls[int(news.request_id)], news.outcome)
 
     def _desk_dies(self) -> None:
         self.line = CallQueue()
--- a/lagoonlever/bench/shares_run.py
+++ b/lagoonlever/bench/shares_run.py
@@ -171,7 +171,7 @@
         for index, router in enumerate(self._routers):
             if index in self._dead or not isinstance(router, SharesPolicy):
                 continue
-            news = router.admission.due_news(self.now)
+            news = router.admission.due_update(self.now)
             if news is None:
                 continue
             size = len(PEER.encode(message_of("model", news)))
--- a/lagoonlever/decisions/admission/admission.py
+++ b/lagoonlever/decisions/admission/admission.py
@@ -322,7 +322,7 @@
         decisions: list[Decision] = []
         for leaf, queue in self._queues.items():
             self._learn_rate(leaf)
-            for waiting in queue.remove_hopeless(now, patience=QUEUE_PATIENCE):
+            for waiting in queue.remove_unservable(now, patience=QUEUE_PATIENCE):
                 decisions.append(self._refuse(leaf, waiting, now))
         late = [one for one in self._resumes if one.give_up_at <= now]
         for waiting in late:
--- a/lagoonlever/decisions/admission/call_queue.py
+++ b/lagoonlever/decisions/admission/call_queue.py
@@ -167,7 +167,7 @@
 
     def request_slot(self, ask: SlotRequest, now: float) -> CapacityOutcome:
         """Decide for an attempt; the same one may ask again, and is given one place at most."""
-        request = ask.room.request
+        request = ask.capacity.request
         given = self._given(request)
         if given is not None:
             return CapacityGranted(target=given.name)
@@ -187,7 +187,7 @@
 
         It never takes a slot that somebody waits for.
         """
-        given = self._given(ask.room.request)
+        given = self._given(ask.capacity.request)
         if given is not None:
             return CapacityGranted(target=given.name)
         best = None if self._waiting or not self._in_trouble(first, now) else self._best(ask, now)
@@ -235,7 +235,7 @@
         self._expire(now)
         for waiter in list(self._waiting.values()):
             if now - waiter.renewed > SILENT_S:
-                self.withdraw(waiter.ask.room.request)
+                self.withdraw(waiter.ask.capacity.request)
             elif self._is_lost(waiter, now):
                 self._put(waiter, self._refusal(waiter.ask, now), now)
         self._serve(now)
@@ -247,15 +247,15 @@
             runner.expire(now)
 
     def _join(self, waiter: _Waiter, now: float) -> CapacityOutcome:
-        request = waiter.ask.room.request
+        request = waiter.ask.capacity.request
         self._waiting[request] = waiter
         self._serve(now)
         if request not in self._waiting:
-            self._news = [news for news in self._news if news.request != request]
+            self._news = [news for news in self._news if news.request_id != request]
             given = self._given(request)
             assert given is not None
             return CapacityGranted(target=given.name)
-        if self._start_of(waiter, now) <= waiter.ask.room.start_by:
+        if self._start_of(waiter, now) <= waiter.ask.capacity.start_by:
             return self._in_line(waiter)
         waiter.late = True
         if self._ends_in_time(waiter, now):
@@ -284,14 +284,14 @@
             return False
         late = sum(1 for other in self._waiting.values() if other.late)
         ahead_s = len(self._waiting) / self.per_s(now) + late / left_per_s
-        return now + ahead_s + END_SLACK * self._work_s <= waiter.ask.room.end_by
+        return now + ahead_s + END_SLACK * self._work_s <= waiter.ask.capacity.end_by
 
     def _is_lost(self, waiter: _Waiter, now: float) -> bool:
         """Tell whether one has no prospect any more; one that turned late goes after the others.
 
         Served in turn, those that are late already would make all behind them late.
         """
-        room = waiter.ask.room
+        room = waiter.ask.capacity
         if now + self._work_s > room.end_by:
             return True
         if waiter.late or now <= room.start_by + self._work_s:
@@ -315,7 +315,7 @@
     def _put(
         self, waiter: _Waiter, outcome: CapacityGranted | RejectedWithRetryAfter, now: float
     ) -> None:
-        request = waiter.ask.room.request
+        request = waiter.ask.capacity.request
         del self._waiting[request]
         self._news.append(
             QueueDecision(request_id=request, outcome=outcome, waited_s=now - waiter.since)
@@ -328,7 +328,7 @@
         if not any(self._is_able(each, now) for each in self._runners.values()):
             # Every runner looks stalled: one of them is still better than a refusal.
             free = [each for each in open_to if each.free(now) >= 1.0]
-        free = self._sound(free, repeatable=ask.room.repeatable)
+        free = self._sound(free, repeatable=ask.capacity.repeatable)
         return min(free, key=lambda each: self._cost(each, ask, now), default=None)
 
     def _cost(self, runner: RunnerSlots, ask: SlotRequest, now: float) -> tuple[bool, int, float]:
@@ -366,10 +366,10 @@
         wait_s = (self._ahead(waiter) + 1) / per_s
         slowest = max(each.slowness(now) for each in faster)
         ends_sooner = wait_s + slowest * self._work_s < pace * self._work_s
-        return ends_sooner and now + wait_s <= waiter.ask.room.start_by
+        return ends_sooner and now + wait_s <= waiter.ask.capacity.start_by
 
     def _give(self, ask: SlotRequest, runner: RunnerSlots, now: float) -> CapacityGranted:
-        room = ask.room
+        room = ask.capacity
         until = min(room.end_by, now + PLACE_KEPT_S)
         runner.give(Place(request=room.request, given_at=now, until=until))
         return CapacityGranted(target=runner.name)
@@ -396,7 +396,7 @@
         drained_s = max(LEAST_RETURN_S, len(self._waiting) / per_s, now - self._short_since)
         earliest = now + min(drained_s, MOST_RETURN_S / 2)
         self._last_return = max(self._last_return + 1 / (RETURNS_SHARE * per_s), earliest)
-        useful_s = ask.room.end_by - now - END_SLACK * self._work_s
+        useful_s = ask.capacity.end_by - now - END_SLACK * self._work_s
         retry_after_s = min(self._last_return - now, max(LEAST_RETURN_S, useful_s), MOST_RETURN_S)
         detail = f"{len(self._waiting)} calls wait for runners that do {per_s:.0f} a second"
         return RejectedWithRetryAfter(detail=detail, retry_after_s=round(retry_after_s, 2))
--- a/lagoonlever/decisions/admission/prompt_queue.py
+++ b/lagoonlever/decisions/admission/prompt_queue.py
@@ -143,7 +143,7 @@
         """
         known = self._waiting.get(asked.prompt_id)
         if known is not None:
-            known.heard = asked.renewed_at
+            known.renewed_at = asked.renewed_at
             return False
         self._waiting[asked.prompt_id] = asked
         self._rate.busy(asked.renewed_at)
@@ -157,36 +157,42 @@
 
     def expire(self, now: float) -> tuple[QueuedPrompt, ...]:
         """Take out, and give, those whose VM was not heard of late."""
-        silent = tuple(w for w in self._waiting.values() if now - w.heard > RENEWAL_TIMEOUT_S)
+        silent = tuple(w for w in self._waiting.values() if now - w.renewed_at > RENEWAL_TIMEOUT_S)
         for waiting in silent:
-            self.remove(waiting.place)
+            self.remove(waiting.prompt_id)
         return silent
 
     def unfinishable(self, now: float) -> tuple[QueuedPrompt, ...]:
         """Give those that could not end in their callers' time any more."""
-        return tuple(w for w in self._waiting.values() if now > w.ask.end_by)
+        return tuple(w for w in self._waiting.values() if now > w.request.end_by)
 
     def order(self, now: float, *, most_per_s: float) -> list[QueuedPrompt]:
         """Give all who wait, the next one first; ``most_per_s`` is what engines can read."""
-        in_time = [w for w in self._waiting.values() if w.turn(now) is PriorityClass.IN_TIME]
-        in_time.sort(key=lambda w: (w.ask.start_by, w.ask.rank, w.ask.request))
+        in_time = [
+            w for w in self._waiting.values() if w.priority_class(now) is PriorityClass.IN_TIME
+        ]
+        in_time.sort(key=lambda w: (w.request.start_by, w.ask.rank, w.ask.request))
         if not self._reaches_all(in_time, now, most_per_s):
-            in_time.sort(key=lambda w: w.ask.rank)
-        others = [w for w in self._waiting.values() if w.turn(now) is not PriorityClass.IN_TIME]
-        others.sort(key=lambda w: (w.turn(now), w.ask.rank, w.ask.arrived, w.ask.request))
+            in_time.sort(key=lambda w: w.request.rank)
+        others = [
+            w for w in self._waiting.values() if w.priority_class(now) is not PriorityClass.IN_TIME
+        ]
+        others.sort(
+            key=lambda w: (w.priority_class(now), w.request.rank, w.ask.arrived, w.ask.request)
+        )
         ordered = in_time + others
         behind = self._behind(now) if self._passed >= OTHERS_FIRST else []
         if behind:
-            oldest = min(behind, key=lambda w: (w.ask.arrived, w.ask.request))
+            oldest = min(behind, key=lambda w: (w.request.arrived, w.ask.request))
             ordered.remove(oldest)
             ordered.insert(0, oldest)
-        self._ahead = {w.place: number for number, w in enumerate(ordered)}
+        self._ahead = {w.prompt_id: number for number, w in enumerate(ordered)}
         return ordered
 
     def record_start(self, place: QueuedPromptId, now: float) -> None:
         """Note that a prompt has got a place, and take it out."""
         behind = self._behind(now)
-        passes = bool(behind) and all(w.place != place for w in behind)
+        passes = bool(behind) and all(w.prompt_id != place for w in behind)
         self._passed = self._passed + 1 if passes else 0
         self._rate.begun(now)
         self.remove(place)
@@ -207,11 +213,11 @@
         ordered = self.order(now, most_per_s=most_per_s)
         per_s = self._rate.per_s(now, most=most_per_s)
         ahead = ordered.index(waiting)
-        in_time = waiting.turn(now) is PriorityClass.IN_TIME
-        start_by = waiting.ask.start_by if in_time else waiting.ask.end_by
+        in_time = waiting.priority_class(now) is PriorityClass.IN_TIME
+        start_by = waiting.request.start_by if in_time else waiting.ask.end_by
         if now + SURELY * ahead / per_s <= start_by:
             return None
-        longest_s = max(MIN_RETRY_AFTER_S, MOST_RETURN_PART * (waiting.ask.end_by - now))
+        longest_s = max(MIN_RETRY_AFTER_S, MOST_RETURN_PART * (waiting.request.end_by - now))
         return RejectedWithRetryAfter(
             detail=f"{ahead} prompts go first, and engines begin {per_s:.1f} a second",
             retry_after_s=min(longest_s, max(MIN_RETRY_AFTER_S, len(ordered) / per_s)),
@@ -223,18 +229,20 @@
 
     def _reaches_all(self, ordered: list[QueuedPrompt], now: float, most_per_s: float) -> bool:
         per_s = self._rate.per_s(now, most=most_per_s)
-        return all(now + n / per_s <= w.ask.start_by for n, w in enumerate(ordered))
+        return all(now + n / per_s <= w.request.start_by for n, w in enumerate(ordered))
 
     def _behind(self, now: float) -> list[QueuedPrompt]:
         """Give those who wait behind a more urgent kind, but those who are late."""
-        kinds = {w.place: (w.turn(now), w.ask.rank) for w in self._waiting.values()}
+        kinds = {
+            w.prompt_id: (w.priority_class(now), w.request.rank) for w in self._waiting.values()
+        }
         if not kinds:
             return []
         first = min(kinds.values())
         return [
             w
             for w in self._waiting.values()
-            if kinds[w.place] > first and kinds[w.place][0] is not PriorityClass.LATE
+            if kinds[w.prompt_id] > first and kinds[w.place][0] is not PriorityClass.LATE
         ]
 
 
--- a/lagoonlever/entry/generations/admission.py
+++ b/lagoonlever/entry/generations/admission.py
@@ -176,7 +176,7 @@
         self._take_in()
         for name, pool in self._pools.items():
             if tick.paused_s:
-                pool.excuse(tick.paused_s)
+                pool.discount_pause(tick.paused_s)
             self._poll(name, pool)
             self._tell_peers(name, pool, tick.now)
         if tick.now >= self._published_at + PUBLISH_PERIOD_S:
@@ -222,7 +222,7 @@
         if all(member.incarnation in heard for member in view.members):
             return
         for pool in self._pools.values():
-            pool.greet()
+            pool.request_full_update()
 
     def _poll(self, name: str, pool: Admission) -> None:
         for decision in pool.poll(self._timers.now):
@@ -259,7 +259,7 @@
         )
 
     def _tell_peers(self, name: str, pool: Admission, now: float) -> None:
-        news = pool.due_news(now)
+        news = pool.due_update(now)
         if news is None:
             return
         message = message_of(name, news)
--- a/lagoonlever/gateway/call_desk.py
+++ b/lagoonlever/gateway/call_desk.py
@@ -96,9 +96,9 @@
         now, request = self._timers.now, _request(vm, ended.number)
         kept.replies.pop(request, None)
         if ended.target is None:
-            kept.line.leave(request)
+            kept.line.withdraw(request)
             return
-        kept.line.ended(
+        kept.line.record_end(
             request,
             ended.target,
             ended.end,
@@ -111,7 +111,7 @@
     def started_again(self, target: str) -> None:
         """Note that another process has a runner's id."""
         for kept in self._lines.values():
-            kept.line.started_again(target)
+            kept.line.record_restart(target)
 
     async def _receive_asks(self) -> None:
         async for received in self._bus.subscribe(PlaceAsk, capacity=CAPACITY):
@@ -153,7 +153,7 @@
 
     def _tell_news(self, kept: _Line, now: float) -> None:
         for news in kept.line.tick(now):
-            asked, reply = kept.replies.pop(news.request, (None, None))
+            asked, reply = kept.replies.pop(news.request_id, (None, None))
             if asked is None or reply is None:
                 kept.line.record_end(news.request, _target(news), CallEnd.UNUSED, now)
                 continue
--- a/lagoonlever/gateway/front_parts.py
+++ b/lagoonlever/gateway/front_parts.py
@@ -91,7 +91,7 @@
     )
     parts.peers.on_engine_lost(tools.engine_lost)
     parts.learner.on_started_again(tools.engine_started_again)
-    parts.learner.on_started_again(runners.started_again)
+    parts.learner.on_started_again(runners.record_restart)
     return tools
 
 
--- a/lagoonlever/gateway/repeatable_calls.py
+++ b/lagoonlever/gateway/repeatable_calls.py
@@ -124,7 +124,7 @@
         """Give the caller the answer of a target, or tell why there is none."""
         call = CallRecord(accepted=accepted)
         window = self._budgets.of_calls(accepted.service)
-        window.request(self._exchange.timers.now)
+        window.record_request(self._exchange.timers.now)
         async with open_work_nursery() as nursery:
             nursery.start_soon(
                 cancel_when_gone,
@@ -186,7 +186,7 @@
         if send.number == 1:
             return None
         now = self._exchange.timers.now
-        window.repeat(now)
+        window.record_retry(now)
         return now
 
     def _hedged(self, call: CallRecord, window: RetryWindow, place: _Places) -> HedgedCall:
@@ -238,7 +238,7 @@
         now = self._exchange.timers.now
         call.detail = describe(ended.result)
         if isinstance(ended.result, Held | NotSent) and ended.counted_at is not None:
-            window.take_back(ended.counted_at)
+            window.cancel_retry(ended.counted_at)
         if isinstance(ended.result, Held):
             hedged.on_unsent(ended.runner)
             return None
--- a/lagoonlever/gateway/room_desk.py
+++ b/lagoonlever/gateway/room_desk.py
@@ -111,7 +111,7 @@
             reply(given.told)
             return
         line = self._lines.setdefault(service, PromptQueue())
-        is_new = line.ask(self._waiting(place, asked, now))
+        is_new = line.enqueue_or_renew(self._waiting(place, asked, now))
         if not is_new:
             self._tell_waiting(place, line)
             return
@@ -126,7 +126,7 @@
         self._open.pop(place, None)
         line = self._lines.get(service)
         if line is not None:
-            line.leave(place)
+            line.remove(place)
 
     async def _receive_asks(self) -> None:
         async for received in self._bus.subscribe(LineAsk, capacity=MOST_WAITING):
@@ -177,17 +177,17 @@
         """Give places to the first in line while engines are ready for them."""
         now = self._timers.now
         for silent in line.expire(now):
-            self._open.pop(silent.place, None)
-            events.LINE_LEFT.log(log, request=silent.ask.request, vm=silent.place.vm)
-        for hopeless in line.hopeless(now):
+            self._open.pop(silent.prompt_id, None)
+            events.LINE_LEFT.log(log, request=silent.request.request, vm=silent.prompt_id.vm)
+        for hopeless in line.unfinishable(now):
             if self._open[hopeless.place].asked.need.refusable:
                 self._turn_away(hopeless.place, line, _time_over())
         view = self._placer.view(service)
         passed_by = 0
         for waiting in line.order(now, most_per_s=ready_rate(service, view, now)):
-            asked = self._open[waiting.place].asked
-            if self._beliefs.book.begun_after(waiting.ask.request, waiting.asked):
-                self.left(waiting.place, service)
+            asked = self._open[waiting.prompt_id].asked
+            if self._beliefs.book.begun_after(waiting.request.request, waiting.enqueued_at):
+                self.left(waiting.prompt_id, service)
                 continue
             outcome = self._decide(asked.ask, line)
             if not isinstance(outcome, NoRoom):
@@ -209,15 +209,15 @@
 
     def _give(self, waiting: QueuedPrompt, line: PromptQueue, outcome: RunOutcome) -> None:
         """Tell a VM what was decided, and keep its place until it tells of the run."""
-        now, place = self._timers.now, waiting.place
+        now, place = self._timers.now, waiting.prompt_id
         question = self._open.pop(place)
         ask = question.asked.ask
         if isinstance(outcome, Placed):
             self._beliefs.book.reserve(reserved_run(ask, outcome, vm=place.vm), now)
-            line.given(place, now)
+            line.record_start(place, now)
             self._log_begun(waiting, line, outcome)
         else:
-            line.leave(place)
+            line.remove(place)
         pace = self._beliefs.book.paces.kept().get(ask.service)
         decided = PlacementTold.of(place.number, outcome, pace)
         self._answer(place, question, LineTold(number=place.number, decided=decided))
@@ -229,7 +229,7 @@
         if not question.asked.need.refusable:
             return False
         most_per_s = ready_rate(ask.service, self._placer.view(ask.service), now)
-        refused = line.refusal(place, now, most_per_s=most_per_s)
+        refused = line.rejection(place, now, most_per_s=most_per_s)
         if refused is None:
             return False
         self._turn_away(place, line, refused)
@@ -265,7 +265,7 @@
         question.reply(told)
 
     def _tell_waiting(self, place: QueuedPromptId, line: PromptQueue) -> None:
-        waits = QueuedForCapacity(seconds=RENEW_S, ahead=line.ahead_of(place))
+        waits = QueuedForCapacity(seconds=RENEW_S, ahead=line.count_ahead(place))
         self._open[place].reply(LineTold(number=place.number, waits=waits))
 
     def _log_queued(self, place: QueuedPromptId, line: PromptQueue) -> None:
@@ -276,7 +276,7 @@
             request=asked.ask.request,
             service=asked.ask.service,
             rank=asked.need.rank,
-            ahead=line.ahead_of(place),
+            ahead=line.count_ahead(place),
             in_time_s=round(asked.need.first_event_in_s, 2),
             per_s=round(ready_rate(asked.ask.service, view, now), 1),
         )
@@ -285,34 +285,34 @@
         """Tell once of each prompt that the line could not reach in its time."""
         now = self._timers.now
         for waiting in line.waiting:
-            question = self._open[waiting.place]
-            if question.told_late or waiting.turn(now) is not PriorityClass.LATE:
+            question = self._open[waiting.prompt_id]
+            if question.told_late or waiting.priority_class(now) is not PriorityClass.LATE:
                 continue
             question.told_late = True
             events.LINE_PASSED_BY.log(
                 log,
-                request=waiting.ask.request,
+                request=waiting.request.request,
                 service=service,
-                rank=waiting.ask.rank,
-                seconds=round(now - waiting.asked, 2),
+                rank=waiting.request.rank,
+                seconds=round(now - waiting.enqueued_at, 2),
                 waiting=len(line),
             )
 
     def _log_begun(self, waiting: QueuedPrompt, line: PromptQueue, placed: Placed) -> None:
         now = self._timers.now
-        at_once = now <= waiting.asked
-        self._count(waiting.ask.service, waiting.ask.rank, "at-once" if at_once else "begun")
+        at_once = now <= waiting.enqueued_at
+        self._count(waiting.request.service, waiting.ask.rank, "at-once" if at_once else "begun")
         if at_once:
             return
         events.LINE_BEGUN.log(
             log,
-            request=waiting.ask.request,
-            service=waiting.ask.service,
-            rank=waiting.ask.rank,
+            request=waiting.request.request,
+            service=waiting.request.service,
+            rank=waiting.request.rank,
             engine=placed.engine,
-            seconds=round(now - waiting.asked, 3),
+            seconds=round(now - waiting.enqueued_at, 3),
             waiting=len(line),
-            left_s=round(waiting.ask.start_by - now, 2),
+            left_s=round(waiting.request.start_by - now, 2),
         )
 
     def _count(self, service: str, rank: int, outcome: str) -> None:
@@ -323,7 +323,7 @@
         now = self._timers.now
         by_rank: dict[int, list[float]] = {}
         for waiting in line.waiting:
-            by_rank.setdefault(waiting.ask.rank, []).append(now - waiting.asked)
+            by_rank.setdefault(waiting.request.rank, []).append(now - waiting.enqueued_at)
         for rank in {*by_rank, *self._ranks_told}:
             ages = by_rank.get(rank, [])
             self._tally.set(metrics.LINE_LENGTH, len(ages), service, str(rank))
--- a/lagoonlever/tests/call_line_machine_tests.py
+++ b/lagoonlever/tests/call_line_machine_tests.py
@@ -97,7 +97,7 @@
         """Let time pass; whoever waits asks again in time."""
         for _ in range(steps):
             self.now += STEP_S
-            for request in [r for r in self.given if self.now >= self.asks[r].room.end_by]:
+            for request in [r for r in self.given if self.now >= self.asks[r].capacity.end_by]:
                 del self.given[request]
                 self.over.add(request)
             for request in sorted(self.waiting):
@@ -109,8 +109,8 @@
     @rule()
     def tick(self) -> None:
         for news in self.line.tick(self.now):
-            assert news.request in self.waiting, "nobody is told twice"
-            self.take(news.request, news.outcome)
+            assert news.request_id in self.waiting, "nobody is told twice"
+            self.take(news.request_id, news.outcome)
 
     def take(
         self, request: str, outcome: CapacityGranted | QueuedForCapacity | RejectedWithRetryAfter
@@ -134,7 +134,7 @@
 
     @invariant()
     def nobody_waits_beyond_its_time(self) -> None:
-        assert all(self.now <= self.asks[request].room.end_by for request in self.waiting)
+        assert all(self.now <= self.asks[request].capacity.end_by for request in self.waiting)
 
     @invariant()
     def no_runner_has_more_places_than_slots(self) -> None:
--- a/lagoonlever/tests/call_line_tests.py
+++ b/lagoonlever/tests/call_line_tests.py
@@ -61,14 +61,14 @@
 
 def fill(line: CallQueue, count: int, *, now: float = 0.0) -> list[str]:
     """Take places; gives where."""
-    outcomes = [line.ask(ask(f"fill-{number}", now=now), now) for number in range(count)]
+    outcomes = [line.request_slot(ask(f"fill-{number}", now=now), now) for number in range(count)]
     return [outcome.target for outcome in outcomes if isinstance(outcome, CapacityGranted)]
 
 
 def crowd(line: CallQueue, *, now: float = 0.0) -> None:
     """Let more ask than the runners can serve; all of them leave."""
     for number in range(40):
-        line.ask(ask(f"crowd-{number}", now=now), now)
+        line.request_slot(ask(f"crowd-{number}", now=now), now)
         line.withdraw(f"crowd-{number}")
 
 
@@ -99,7 +99,7 @@
     assert isinstance(line.request_slot(ask("x"), 0.0), QueuedForCapacity)
     line.record_end("fill-0", "a", CallEnd.ANSWERED, 0.01, seconds=0.07, load=told(running=1))
     (news,) = line.tick(0.01)
-    assert (news.request, news.outcome) == ("x", CapacityGranted(target="a"))
+    assert (news.request_id, news.outcome) == ("x", CapacityGranted(target="a"))
 
 
 def test_nobody_is_given_two_places_for_asking_twice() -> None:
@@ -123,7 +123,7 @@
     line.request_slot(ask("short", aim_s=0.2), 0.0)
     for number in range(4):
         line.record_end(f"fill-{number}", "ab"[number % 2], CallEnd.UNUSED, 0.01)
-    order = [news.request for news in line.tick(0.01)]
+    order = [news.request_id for news in line.tick(0.01)]
     assert order == ["short", "posting", "lookup", "patient"]
 
 
@@ -154,7 +154,7 @@
     assert isinstance(line.request_slot(ask("late", aim_s=-0.1), 0.0), QueuedForCapacity)
     line.request_slot(ask("on-time"), 0.0)
     line.record_end("fill-0", "a", CallEnd.UNUSED, 0.01)
-    assert [news.request for news in line.tick(0.01)] == ["on-time"]
+    assert [news.request_id for news in line.tick(0.01)] == ["on-time"]
 
 
 def test_an_urgent_call_gets_in_where_a_patient_one_is_refused() -> None:
--- a/lagoonlever/tests/gateway_calls_tests.py
+++ b/lagoonlever/tests/gateway_calls_tests.py
@@ -335,6 +335,6 @@
     """Give how many repeats the budget of calls still allows, without taking one."""
     spare = copy.deepcopy(of.budgets.of_calls("apps"))
     count = 0
-    while spare.take(of.timers.now, vms=1):
+    while spare.try_record_retry(of.timers.now, vms=1):
         count += 1
     return count
--- a/lagoonlever/tests/room_line_machine_tests.py
+++ b/lagoonlever/tests/room_line_machine_tests.py
@@ -94,9 +94,9 @@
             return
         first = ordered[0]
         self._check_order(ordered)
-        line.record_start(first.place, self.now)
-        asker = next(each for each in self.askers if each.request == first.place.vm)
-        is_open = asker.question == first.place.number and not asker.placed
+        line.record_start(first.prompt_id, self.now)
+        asker = next(each for each in self.askers if each.request == first.prompt_id.vm)
+        is_open = asker.question == first.prompt_id.number and not asker.placed
         if is_lost or not is_open:
             asker.heard_at = None if is_open else asker.heard_at
             return
@@ -116,17 +116,21 @@
     def who_is_silent_is_dropped(self) -> None:
         for line in self.lines:
             line.expire(self.now)
-            assert all(self.now - w.heard <= RENEWAL_TIMEOUT_S for w in line.waiting)
+            assert all(self.now - w.renewed_at <= RENEWAL_TIMEOUT_S for w in line.waiting)
 
     def _check_order(self, ordered: list[QueuedPrompt]) -> None:
         """Within a rank, of those that can be on time, who must start sooner goes first."""
         first = ordered[0]
-        kind = (first.turn(self.now), first.ask.rank)
-        peers = [w for w in ordered if (w.turn(self.now), w.ask.rank) == kind]
-        assert first.ask.arrived == min(w.ask.arrived for w in peers)
-        behind = [w for w in ordered if w.ask.rank > first.ask.rank and w.turn(self.now) == 0]
+        kind = (first.priority_class(self.now), first.request.rank)
+        peers = [w for w in ordered if (w.priority_class(self.now), w.request.rank) == kind]
+        assert first.request.arrived == min(w.ask.arrived for w in peers)
+        behind = [
+            w
+            for w in ordered
+            if w.request.rank > first.ask.rank and w.priority_class(self.now) == 0
+        ]
         for w in behind:
-            self.passed[w.ask.request] = self.passed.get(w.ask.request, 0) + 1
+            self.passed[w.request.request] = self.passed.get(w.ask.request, 0) + 1
 
     def _ask(self, asker: Asker, *, is_lost: bool) -> None:
         if is_lost:
@@ -178,11 +182,11 @@
         ordered = self.line.order(0.0, most_per_s=PER_S)
         if not ordered:
             return
-        ranks = {w.ask.rank for w in ordered}
+        ranks = {w.request.rank for w in ordered}
         first = ordered[0]
-        self.line.record_start(first.place, 0.0)
+        self.line.record_start(first.prompt_id, 0.0)
         self.since_patient = self.since_patient + 1 if ranks == {0, 2} else 0
-        if first.ask.rank == 2:
+        if first.request.rank == 2:
             self.since_patient = 0
         assert self.since_patient <= OTHERS_FIRST
 
--- a/lagoonlever/tests/room_line_tests.py
+++ b/lagoonlever/tests/room_line_tests.py
@@ -51,12 +51,12 @@
 
 
 def order_of(line: PromptQueue, now: float, *, per_s: float = FAST) -> list[str]:
-    return [each.ask.request for each in line.order(now, most_per_s=per_s)]
+    return [each.request.request for each in line.order(now, most_per_s=per_s)]
 
 
 def serve(line: PromptQueue, now: float, *, per_s: float = FAST) -> QueuedPrompt:
     first = line.order(now, most_per_s=per_s)[0]
-    line.record_start(first.place, now)
+    line.record_start(first.prompt_id, now)
     return first
 
 
@@ -76,14 +76,14 @@
 def test_the_patient_get_one_place_in_four() -> None:
     """Guards against patient callers who get nothing while urgent ones keep coming."""
     line = line_of(*(waiting(n, rank=0) for n in range(100, 140)), waiting(1), waiting(2))
-    served = [serve(line, 0.0, per_s=SLOW).ask.rank for _ in range(2 * (OTHERS_FIRST + 1))]
+    served = [serve(line, 0.0, per_s=SLOW).request.rank for _ in range(2 * (OTHERS_FIRST + 1))]
     assert served == [*[0] * OTHERS_FIRST, 2] * 2
 
 
 def test_a_stream_that_broke_off_is_not_passed_by_for_good() -> None:
     """Guards against a caller with half an answer who waits while fresh prompts keep coming."""
     line = line_of(waiting(1, broken=True), *(waiting(n) for n in range(100, 110)))
-    served = [serve(line, 0.0).ask.request for _ in range(OTHERS_FIRST + 1)]
+    served = [serve(line, 0.0).request.request for _ in range(OTHERS_FIRST + 1)]
     assert "r001" not in served[:OTHERS_FIRST]
     assert served[-1] == "r001"
 
@@ -93,7 +93,7 @@
     line = line_of(waiting(1, rank=0, at=-5.0), waiting(2))
     assert order_of(line, 0.0) == ["r002", "r001"]
     serve(line, 0.0)
-    assert serve(line, 0.1).ask.request == "r001"
+    assert serve(line, 0.1).request.request == "r001"
 
 
 def test_a_prompt_lost_before_its_first_event_keeps_its_arrival() -> None:
@@ -147,7 +147,7 @@
     again = waiting(2, at=RENEWAL_TIMEOUT_S)
     assert not line.enqueue_or_renew(again)
     silent = line.expire(RENEWAL_TIMEOUT_S + 0.1)
-    assert [each.ask.request for each in silent] == ["r001"]
+    assert [each.request.request for each in silent] == ["r001"]
     assert len(line) == 1
 
 
@@ -155,14 +155,14 @@
     """Guards against prompts that move back in line as their questions travel slowly."""
     line = line_of(waiting(1))
     line.enqueue_or_renew(waiting(1, at=0.5))
-    assert line.waiting[0].ask.start_by == PATIENT_S - READING_S
+    assert line.waiting[0].request.start_by == PATIENT_S - READING_S
 
 
 def test_who_cannot_end_in_its_time_any_more_is_named() -> None:
     """Guards against prompts that are read in vain after a long wait."""
     line = line_of(waiting(1), waiting(2, at=1.0))
     assert line.unfinishable(CALLER_S - READING_S) == ()
-    assert [w.ask.request for w in line.unfinishable(CALLER_S - READING_S + 0.5)] == ["r001"]
+    assert [w.request.request for w in line.unfinishable(CALLER_S - READING_S + 0.5)] == ["r001"]
 
 
 def test_a_line_in_which_nobody_moves_is_stalled() -> None:
