--- a/lagoonlever/decisions/admission/call_queue.py
+++ b/lagoonlever/decisions/admission/call_queue.py
@@ -167,7 +167,7 @@
 
     def request_slot(self, ask: SlotRequest, now: float) -> CapacityOutcome:
         """Decide for an attempt; the same one may ask again, and is given one place at most."""
-        request = ask.capacity.request
+        request = ask.capacity.request_id
         given = self._given(request)
         if given is not None:
             return CapacityGranted(target=given.name)
@@ -187,7 +187,7 @@
 
         It never takes a slot that somebody waits for.
         """
-        given = self._given(ask.capacity.request)
+        given = self._given(ask.capacity.request_id)
         if given is not None:
             return CapacityGranted(target=given.name)
         best = None if self._waiting or not self._in_trouble(first, now) else self._best(ask, now)
@@ -235,7 +235,7 @@
         self._expire(now)
         for waiter in list(self._waiting.values()):
             if now - waiter.renewed > SILENT_S:
-                self.withdraw(waiter.ask.capacity.request)
+                self.withdraw(waiter.ask.capacity.request_id)
             elif self._is_lost(waiter, now):
                 self._put(waiter, self._refusal(waiter.ask, now), now)
         self._serve(now)
@@ -247,7 +247,7 @@
             runner.expire(now)
 
     def _join(self, waiter: _Waiter, now: float) -> CapacityOutcome:
-        request = waiter.ask.capacity.request
+        request = waiter.ask.capacity.request_id
         self._waiting[request] = waiter
         self._serve(now)
         if request not in self._waiting:
@@ -315,7 +315,7 @@
     def _put(
         self, waiter: _Waiter, outcome: CapacityGranted | RejectedWithRetryAfter, now: float
     ) -> None:
-        request = waiter.ask.capacity.request
+        request = waiter.ask.capacity.request_id
         del self._waiting[request]
         self._news.append(
             QueueDecision(request_id=request, outcome=outcome, waited_s=now - waiter.since)
@@ -371,7 +371,7 @@
     def _give(self, ask: SlotRequest, runner: RunnerSlots, now: float) -> CapacityGranted:
         room = ask.capacity
         until = min(room.end_by, now + PLACE_KEPT_S)
-        runner.give(Place(request=room.request, given_at=now, until=until))
+        runner.give(Place(request=room.request_id, given_at=now, until=until))
         return CapacityGranted(target=runner.name)
 
     def _given(self, request: str) -> RunnerSlots | None:
--- a/lagoonlever/decisions/admission/prompt_queue.py
+++ b/lagoonlever/decisions/admission/prompt_queue.py
@@ -171,19 +171,19 @@
         in_time = [
             w for w in self._waiting.values() if w.priority_class(now) is PriorityClass.IN_TIME
         ]
-        in_time.sort(key=lambda w: (w.request.start_by, w.ask.rank, w.ask.request))
+        in_time.sort(key=lambda w: (w.request.start_by, w.request.rank, w.ask.request))
         if not self._reaches_all(in_time, now, most_per_s):
             in_time.sort(key=lambda w: w.request.rank)
         others = [
             w for w in self._waiting.values() if w.priority_class(now) is not PriorityClass.IN_TIME
         ]
         others.sort(
-            key=lambda w: (w.priority_class(now), w.request.rank, w.ask.arrived, w.ask.request)
+            key=lambda w: (w.priority_class(now), w.request.rank, w.request.arrived, w.ask.request)
         )
         ordered = in_time + others
         behind = self._behind(now) if self._passed >= OTHERS_FIRST else []
         if behind:
-            oldest = min(behind, key=lambda w: (w.request.arrived, w.ask.request))
+            oldest = min(behind, key=lambda w: (w.request.arrived_at, w.request.request))
             ordered.remove(oldest)
             ordered.insert(0, oldest)
         self._ahead = {w.prompt_id: number for number, w in enumerate(ordered)}
@@ -214,7 +214,7 @@
         per_s = self._rate.per_s(now, most=most_per_s)
         ahead = ordered.index(waiting)
         in_time = waiting.priority_class(now) is PriorityClass.IN_TIME
-        start_by = waiting.request.start_by if in_time else waiting.ask.end_by
+        start_by = waiting.request.start_by if in_time else waiting.request.end_by
         if now + SURELY * ahead / per_s <= start_by:
             return None
         longest_s = max(MIN_RETRY_AFTER_S, MOST_RETURN_PART * (waiting.request.end_by - now))
@@ -242,7 +242,7 @@
         return [
             w
             for w in self._waiting.values()
-            if kinds[w.prompt_id] > first and kinds[w.place][0] is not PriorityClass.LATE
+            if kinds[w.prompt_id] > first and kinds[w.prompt_id][0] is not PriorityClass.LATE
         ]
 
 
--- a/lagoonlever/gateway/call_desk.py
+++ b/lagoonlever/gateway/call_desk.py
@@ -155,7 +155,7 @@
         for news in kept.line.tick(now):
             asked, reply = kept.replies.pop(news.request_id, (None, None))
             if asked is None or reply is None:
-                kept.line.record_end(news.request, _target(news), CallEnd.UNUSED, now)
+                kept.line.record_end(news.request_id, _target(news), CallEnd.UNUSED, now)
                 continue
             self._log_news(kept, asked, news, now)
             work_s = kept.line.work_s
--- a/lagoonlever/gateway/room_desk.py
+++ b/lagoonlever/gateway/room_desk.py
@@ -178,15 +178,15 @@
         now = self._timers.now
         for silent in line.expire(now):
             self._open.pop(silent.prompt_id, None)
-            events.LINE_LEFT.log(log, request=silent.request.request, vm=silent.prompt_id.vm)
+            events.LINE_LEFT.log(log, request=silent.request_id.request, vm=silent.prompt_id.vm)
         for hopeless in line.unfinishable(now):
-            if self._open[hopeless.place].asked.need.refusable:
-                self._turn_away(hopeless.place, line, _time_over())
+            if self._open[hopeless.prompt_id].asked.need.refusable:
+                self._turn_away(hopeless.prompt_id, line, _time_over())
         view = self._placer.view(service)
         passed_by = 0
         for waiting in line.order(now, most_per_s=ready_rate(service, view, now)):
             asked = self._open[waiting.prompt_id].asked
-            if self._beliefs.book.begun_after(waiting.request.request, waiting.enqueued_at):
+            if self._beliefs.book.begun_after(waiting.request_id.request, waiting.enqueued_at):
                 self.left(waiting.prompt_id, service)
                 continue
             outcome = self._decide(asked.ask, line)
@@ -291,7 +291,7 @@
             question.told_late = True
             events.LINE_PASSED_BY.log(
                 log,
-                request=waiting.request.request,
+                request=waiting.request_id.request,
                 service=service,
                 rank=waiting.request.rank,
                 seconds=round(now - waiting.enqueued_at, 2),
@@ -301,12 +301,14 @@
     def _log_begun(self, waiting: QueuedPrompt, line: PromptQueue, placed: Placed) -> None:
         now = self._timers.now
         at_once = now <= waiting.enqueued_at
-        self._count(waiting.request.service, waiting.ask.rank, "at-once" if at_once else "begun")
+        self._count(
+            waiting.request.service, waiting.request.rank, "at-once" if at_once else "begun"
+        )
         if at_once:
             return
         events.LINE_BEGUN.log(
             log,
-            request=waiting.request.request,
+            request=waiting.request_id.request,
             service=waiting.request.service,
             rank=waiting.request.rank,
             engine=placed.engine,
--- a/lagoonlever/tests/room_line_machine_tests.py
+++ b/lagoonlever/tests/room_line_machine_tests.py
@@ -123,14 +123,14 @@
         first = ordered[0]
         kind = (first.priority_class(self.now), first.request.rank)
         peers = [w for w in ordered if (w.priority_class(self.now), w.request.rank) == kind]
-        assert first.request.arrived == min(w.ask.arrived for w in peers)
+        assert first.request.arrived_at == min(w.request.arrived for w in peers)
         behind = [
             w
             for w in ordered
-            if w.request.rank > first.ask.rank and w.priority_class(self.now) == 0
+            if w.request.rank > first.request.rank and w.priority_class(self.now) == 0
         ]
         for w in behind:
-            self.passed[w.request.request] = self.passed.get(w.ask.request, 0) + 1
+            self.passed[w.request_id.request] = self.passed.get(w.request.request, 0) + 1
 
     def _ask(self, asker: Asker, *, is_lost: bool) -> None:
         if is_lost:
--- a/lagoonlever/tests/room_line_tests.py
+++ b/lagoonlever/tests/room_line_tests.py
@@ -51,7 +51,7 @@
 
 
 def order_of(line: PromptQueue, now: float, *, per_s: float = FAST) -> list[str]:
-    return [each.request.request for each in line.order(now, most_per_s=per_s)]
+    return [each.request_id.request for each in line.order(now, most_per_s=per_s)]
 
 
 def serve(line: PromptQueue, now: float, *, per_s: float = FAST) -> QueuedPrompt:
@@ -83,7 +83,7 @@
 def test_a_stream_that_broke_off_is_not_passed_by_for_good() -> None:
     """Guards against a caller with half an answer who waits while fresh prompts keep coming."""
     line = line_of(waiting(1, broken=True), *(waiting(n) for n in range(100, 110)))
-    served = [serve(line, 0.0).request.request for _ in range(OTHERS_FIRST + 1)]
+    served = [serve(line, 0.0).request_id.request for _ in range(OTHERS_FIRST + 1)]
     assert "r001" not in served[:OTHERS_FIRST]
     assert served[-1] == "r001"
 
@@ -93,7 +93,7 @@
     line = line_of(waiting(1, rank=0, at=-5.0), waiting(2))
     assert order_of(line, 0.0) == ["r002", "r001"]
     serve(line, 0.0)
-    assert serve(line, 0.1).request.request == "r001"
+    assert serve(line, 0.1).request_id.request == "r001"
 
 
 def test_a_prompt_lost_before_its_first_event_keeps_its_arrival() -> None:
@@ -147,7 +147,7 @@
     again = waiting(2, at=RENEWAL_TIMEOUT_S)
     assert not line.enqueue_or_renew(again)
     silent = line.expire(RENEWAL_TIMEOUT_S + 0.1)
-    assert [each.request.request for each in silent] == ["r001"]
+    assert [each.request_id.request for each in silent] == ["r001"]
     assert len(line) == 1
 
 
@@ -162,7 +162,7 @@
     """Guards against prompts that are read in vain after a long wait."""
     line = line_of(waiting(1), waiting(2, at=1.0))
     assert line.unfinishable(CALLER_S - READING_S) == ()
-    assert [w.request.request for w in line.unfinishable(CALLER_S - READING_S + 0.5)] == ["r001"]
+    assert [w.request_id.request for w in line.unfinishable(CALLER_S - READING_S + 0.5)] == ["r001"]
 
 
 def test_a_line_in_which_nobody_moves_is_stalled() -> None:
