--- a/lagoonlever/bench/stream_day_model.py
+++ b/lagoonlever/bench/stream_day_model.py
@@ -215,13 +215,13 @@
         if making_s is None:
             return False
         most = max_prefill_share(
-            making_s=making_s,
-            reading_s=self._book.paces.usual_reading_s(SERVICE),
+            decode_s=making_s,
+            prefill_s=self._book.paces.usual_reading_s(SERVICE),
             allowed_s=self._plan.deadline_s,
             slowdown=self._book.paces.slowdown(SERVICE),
         )
         load = self._book.reading_load(SERVICE, engines=len(self._listed), now=now)
-        if admits_prompt(load, most=most):
+        if admits_prompt(load, max_share=most):
             return False
         stream.refused += 1
         if stream.refused <= self._plan.caller_returns:
--- a/lagoonlever/decisions/admission/__init__.py
+++ b/lagoonlever/decisions/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Whether work is taken now: queues, limits, budgets, hedges, prompts that engines can read."""
+"""Decisions on when work starts: queues, limits, retry budgets, hedges, prompt admission."""
--- a/lagoonlever/decisions/admission/admission.py
+++ b/lagoonlever/decisions/admission/admission.py
@@ -1,7 +1,8 @@
-"""Admission to one pool of engines: who waits, who starts next, who is told to come back.
+"""Admission to one pool of engines: which requests wait, start next, or are told to retry.
 
-All VMs run this alike, each over its own queues and the sums of all. The caller
-passes in the time, carries out what ``poll`` decides, and reports use and ends.
+All VMs run the same decisions, each over its own queues and over the usage totals that the VMs
+exchange. The caller of this module passes in the time, carries out what ``poll`` decides, and
+reports the usage and the end of each request.
 """
 
 from __future__ import annotations
@@ -22,32 +23,34 @@
 from lagoonlever.outcomes import NotRun
 
 QUEUE_PATIENCE = 2.0
-"""A queued request is given up when its expected wait is this many times the time it has."""
+"""A queued request is refused if its expected wait exceeds this many times its time left."""
 QUEUE_CHECK_S = 0.25
-RESUME_PART = 0.25
-"""Part of this VM's slots that resumes may take anew in a second, ahead of new work."""
+"""Interval at which queues are checked for requests that can't start in time."""
+RESUMES_PER_S_PER_SLOT = 0.25
+"""Resumed generations that may start per second ahead of new work, per slot of this VM."""
 MIN_RESUMES_PER_S = 2.0
 COMMIT_AHEAD = 64.0
-"""Work charged ahead of use, at most: bounds the error that a dead VM leaves behind."""
+"""Maximum work charged ahead of its use; it bounds the error that remains if this VM dies."""
 CHARGE_STEP = 16.0
-"""Use is passed on in steps of this work: a charge for each token would cost too much."""
+"""Work is charged in steps of this size, as a charge for each token would cost too much."""
 DEFAULT_WORK = 128.0
-"""Work expected of a request of a leaf that has ended none yet."""
+"""Work expected of a request whose leaf has had no request end yet."""
 MEAN_WEIGHT = 0.1
-"""Weight of the latest ended request in a leaf's means."""
+"""Weight of the latest ended request in a leaf's moving averages."""
 NO_LIMITS = NodeLimits()
 PRIORITY_PER_S = 10.0
-"""Steps of engine priority for a second ahead of or behind the organisation's share."""
+"""Priority steps per second by which the organisation is ahead of or behind its share."""
 MAX_PRIORITY_LAG_S = 20.0
+"""The lag behind or ahead of the share counts up to this many seconds."""
 FILL_PRIORITY = 200.0
-"""Steps of engine priority that a leaf is ahead with none of its slots, against all of them."""
+"""Priority steps by which a leaf with none of its slots in use goes before one with all in use."""
 RESUME_PRIORITY = -1000
-"""Engine priority of resumed generations, before all new work."""
+"""Engine priority of resumed generations, which go before all new work."""
 
 
 @attrs.frozen(kw_only=True)
 class AdmissionRequest:
-    """A request for one slot of a pool; ``deadline_s`` is the time left to start it."""
+    """Request for one slot of a pool; ``deadline_s`` is the time left to start it."""
 
     path: str
     pool: str
@@ -59,7 +62,7 @@
 
 @attrs.frozen(kw_only=True)
 class Granted:
-    """The request may be dispatched now; engines run lower ``priority`` first."""
+    """Decision to dispatch a request now; engines run lower ``priority`` first."""
 
     ticket: int
     waited_s: float
@@ -68,7 +71,7 @@
 
 @attrs.frozen(kw_only=True)
 class Refused:
-    """The request was taken out of its queue and never ran."""
+    """Decision to refuse a request, which was removed from its queue and never ran."""
 
     ticket: int
     answer: NotRun
@@ -79,27 +82,30 @@
 
 @attrs.define(kw_only=True)
 class _Running:
+    """Request that was granted and not released; work is in units of ``work_of``."""
+
     leaf: str
     started_at: float
     estimate: float
+    """Expected total work."""
     used: float = 0.0
     charged: float = 0.0
 
     @property
     def committed(self) -> float:
-        """The work to charge: what was used, and a bounded part of what is still expected."""
+        """The work to charge: the used work and a bounded part of the work still expected."""
         return self.used + min(max(self.estimate - self.used, 0.0), COMMIT_AHEAD)
 
 
 @attrs.frozen(kw_only=True)
 class _Ended:
-    """Work and running time of an ended request, or their means over a leaf's."""
+    """Work and running time of an ended request, or their moving averages over a leaf."""
 
     work: float
     duration_s: float
 
     def averaged_into(self, mean: _Ended | None) -> _Ended:
-        """Give the mean with this one counted in."""
+        """Return the moving average with this request included."""
         if mean is None:
             return self
         return _Ended(
@@ -110,12 +116,14 @@
 
 @attrs.frozen(kw_only=True)
 class _Count:
+    """Requests of one leaf at this VM."""
+
     running: int
     waiting: int
 
 
 class Admission:
-    """The queues of one pool at this VM, and the requests running from here."""
+    """Queues of one pool at this VM, and the requests that this VM has running."""
 
     def __init__(
         self, *, tree: ShareTree, limits: Mapping[str, NodeLimits], rng: random.Random
@@ -129,61 +137,64 @@
         self._resume_credit = MIN_RESUMES_PER_S
         self._polled_at: float | None = None
         self._checked_at: float | None = None
-        self._asks: dict[int, AdmissionRequest] = {}
-        self._leaves: dict[int, str] = {}
+        self._waiting_requests: dict[int, AdmissionRequest] = {}
+        self._waiting_leaves: dict[int, str] = {}
         self._running: dict[int, _Running] = {}
         self._means: dict[str, _Ended] = {}
         self._next_ticket = 1
 
     @property
     def book(self) -> ShareBook:
-        """Use and demand of the pool, for reports."""
+        """The usage and demand of the pool, for reports."""
         return self._book
 
     @property
     def waiting_count(self) -> int:
-        """Requests waiting here, resumes too."""
-        return len(self._asks)
+        """The number of requests waiting at this VM, resumed generations included."""
+        return len(self._waiting_requests)
 
     @property
     def running_count(self) -> int:
-        """Requests granted here and not released."""
+        """The number of requests granted by this VM and not released."""
         return len(self._running)
 
     def leaf_of(self, path: str) -> str:
-        """Give the leaf that a path's requests count for in the settings in force."""
+        """Return the leaf to which a path's requests belong in the settings in force."""
         return self._tree.nearest_leaf(path)
 
-    def submit(self, ask: AdmissionRequest, now: float) -> int | NotRun:
-        """Queue a request and give its ticket, or tell at once that it can't be served."""
+    def submit(self, request: AdmissionRequest, now: float) -> int | NotRun:
+        """Queue a request and return its ticket, or the answer that it can't be served in time."""
         self._book.refresh(now)
-        leaf = self._tree.nearest_leaf(ask.path)
-        if ask.resume:
-            return self._enqueue(ask, leaf=leaf, time_s=ask.deadline_s, now=now)
-        time_s = min(ask.deadline_s, self._limits_of(leaf).max_queue_wait_s)
-        obstacle = self._obstacle(leaf, time_s, now)
-        if obstacle is not None:
-            return self._overloaded(obstacle, leaf, now)
-        return self._enqueue(ask, leaf=leaf, time_s=time_s, now=now)
+        leaf = self._tree.nearest_leaf(request.path)
+        if request.resume:
+            return self._enqueue(request, leaf=leaf, time_s=request.deadline_s, now=now)
+        time_s = min(request.deadline_s, self._limits_of(leaf).max_queue_wait_s)
+        reason = self._refusal_reason(leaf, time_s, now)
+        if reason is not None:
+            return self._overloaded(reason, leaf, now)
+        return self._enqueue(request, leaf=leaf, time_s=time_s, now=now)
 
     def poll(self, now: float) -> list[Decision]:
-        """Give what is decided now; call it after every change and every ``QUEUE_CHECK_S``."""
+        """Return the decisions that are due now.
+
+        It is to be called after every change, and at least every ``QUEUE_CHECK_S`` seconds.
+        """
         self._book.refresh(now)
         decisions: list[Decision] = []
         if self._checked_at is None or now >= self._checked_at + QUEUE_CHECK_S:
             self._checked_at = now
-            decisions.extend(self._give_up(now))
-        decisions.extend(self._start_resumes(now))
+            decisions.extend(self._refuse_unservable(now))
+        decisions.extend(self._start_resumed(now))
         while (leaf := self._book.next_leaf()) is not None:
             decisions.append(self._start(leaf, self._queue(leaf).start_next(now), now))
         return decisions
 
     def withdraw(self, ticket: int, now: float) -> bool:
-        """Take a waiting request out, its caller being gone; false if it does not wait."""
-        if ticket not in self._asks:
+        """Remove a waiting request whose caller is gone; return False if it does not wait."""
+        if ticket not in self._waiting_requests:
             return False
-        leaf = self._leaves[ticket]
-        if self._asks[ticket].resume:
+        leaf = self._waiting_leaves[ticket]
+        if self._waiting_requests[ticket].resume:
             self._resumes = deque(one for one in self._resumes if one.ticket != ticket)
         else:
             self._queue(leaf).remove(ticket)
@@ -191,7 +202,7 @@
         return True
 
     def charge(self, ticket: int, work: float, now: float) -> None:
-        """Charge a running request with engine work as it is used; ignored once released."""
+        """Charge a running request for engine work as it is used; ignored once released."""
         running = self._running.get(ticket)
         if running is None:
             return
@@ -203,7 +214,7 @@
         self._book.add_own(running.leaf, now=now, work=due)
 
     def release(self, ticket: int, now: float) -> bool:
-        """End a running request, giving back what was charged ahead; false if it has ended."""
+        """End a running request and refund unused charges; return False if it has ended already."""
         running = self._running.pop(ticket, None)
         if running is None:
             return False
@@ -213,30 +224,30 @@
         return True
 
     def set_report(self, report: PoolReport) -> None:
-        """Take on the pool's slots and its engines' load report."""
+        """Apply the pool's slots and its engines' load report."""
         self._book.set_report(report)
 
-    def receive(self, sender: Incarnation, news: SumsNews, now: float) -> None:
-        """Take on a peer's sums."""
-        self._book.receive(sender, news, now)
+    def receive(self, sender: Incarnation, update: SumsNews, now: float) -> None:
+        """Apply a peer's usage totals."""
+        self._book.receive(sender, update, now)
 
     def discount_pause(self, paused_s: float) -> None:
-        """Count no silence of peers for a time in which this VM itself was paused."""
+        """Exclude a pause of this VM itself from the time for which peers count as silent."""
         self._book.excuse(paused_s)
 
     def request_full_update(self) -> None:
-        """Tell everything next time, because a peer is new."""
+        """Send the full state with the next update, because a peer is new."""
         self._book.greet()
 
     def due_update(self, now: float) -> SumsNews | None:
-        """Give what is to be told to the peers now, or None."""
+        """Return the update that is due to be sent to the peers now, or None."""
         return self._book.due_news(now)
 
     def replace_tree(self, tree: ShareTree, limits: Mapping[str, NodeLimits], now: float) -> None:
-        """Take on another version of the settings; what waits or runs moves to its new leaf."""
-        # A resumed request has no queue of its leaf; where only such ones run, the leaf is
-        # known by them alone.
-        used = {*self._queues, *self._leaves.values()}
+        """Apply another version of the settings, and move requests to their leaf in it."""
+        # Resumed requests don't wait in their leaf's queue, so a leaf that has only these
+        # is found through their tickets.
+        used = {*self._queues, *self._waiting_leaves.values()}
         used.update(running.leaf for running in self._running.values())
         moving = sorted(leaf for leaf in used if not tree.is_leaf(leaf))
         counts = {leaf: self._count(leaf) for leaf in moving}
@@ -250,7 +261,8 @@
             self._book.add_own(target, now=now, running=count.running, waiting=count.waiting)
             self._move(leaf, target)
 
-    def _obstacle(self, leaf: str, time_s: float, now: float) -> str | None:
+    def _refusal_reason(self, leaf: str, time_s: float, now: float) -> str | None:
+        """Return why a new request of a leaf can't be queued, or None if it can."""
         queue = self._queue(leaf)
         chain = self._tree.chain(leaf)
         for path in chain:
@@ -261,73 +273,78 @@
         for path in chain:
             if self._book.own_waiting(path) >= self._limits_of(path).queue_bound:
                 return f"the queue of {path} is full"
-        self._learn_rate(leaf)
+        self._update_rate(leaf)
         if queue.expected_wait_s(len(queue), now) > time_s:
             return f"the queue of {leaf} is longer than the {time_s:g} s left"
         return None
 
-    def _enqueue(self, ask: AdmissionRequest, *, leaf: str, time_s: float, now: float) -> int:
+    def _enqueue(self, request: AdmissionRequest, *, leaf: str, time_s: float, now: float) -> int:
         ticket = self._next_ticket
         self._next_ticket += 1
         waiting = QueuedRequest(ticket=ticket, queued_at=now, give_up_at=now + time_s)
-        if ask.resume:
+        if request.resume:
             self._resumes.append(waiting)
         else:
             self._queue(leaf).push(waiting)
             self._book.add_own(leaf, now=now, waiting=1)
-        self._asks[ticket] = ask
-        self._leaves[ticket] = leaf
+        self._waiting_requests[ticket] = request
+        self._waiting_leaves[ticket] = leaf
         return ticket
 
     def _leave_queue(self, ticket: int, now: float) -> AdmissionRequest:
-        ask = self._asks.pop(ticket)
-        leaf = self._leaves.pop(ticket)
-        if not ask.resume:
+        """Remove a request from the waiting ones, and return it."""
+        request = self._waiting_requests.pop(ticket)
+        leaf = self._waiting_leaves.pop(ticket)
+        if not request.resume:
             self._book.add_own(leaf, now=now, waiting=-1)
-        return ask
+        return request
 
-    def _start_resumes(self, now: float) -> list[Decision]:
-        rate = max(MIN_RESUMES_PER_S, RESUME_PART * self._book.quota)
+    def _start_resumed(self, now: float) -> list[Decision]:
+        """Start resumed generations at a bounded rate, by a token bucket of one second."""
+        rate = max(MIN_RESUMES_PER_S, RESUMES_PER_S_PER_SLOT * self._book.quota)
         elapsed_s = 0.0 if self._polled_at is None else now - self._polled_at
         self._polled_at = now
         self._resume_credit = min(rate, self._resume_credit + rate * elapsed_s)
         decisions: list[Decision] = []
-        # Streams of a dead engine go before new work, but paced: all at once they would
-        # delay every stream of the engines that are left.
+        # Streams of a crashed engine go before new work, but at a bounded rate: the prefills of
+        # all at once would delay every stream of the engines that are left.
         while self._resumes and self._resume_credit >= 1.0:
             self._resume_credit -= 1.0
             waiting = self._resumes.popleft()
-            decisions.append(self._start(self._leaves[waiting.ticket], waiting, now))
+            decisions.append(self._start(self._waiting_leaves[waiting.ticket], waiting, now))
         return decisions
 
     def _start(self, leaf: str, waiting: QueuedRequest, now: float) -> Granted:
+        """Grant a request, and charge the work that it is expected to use first."""
         lag_s = self._book.lag_s(self._tree.chain(leaf)[0])
         filled = self._book.filled(leaf)
-        ask = self._leave_queue(waiting.ticket, now)
-        running = _Running(leaf=leaf, started_at=now, estimate=self._estimate(leaf, ask))
+        request = self._leave_queue(waiting.ticket, now)
+        running = _Running(leaf=leaf, started_at=now, estimate=self._estimate(leaf, request))
         running.charged = running.committed
         self._running[waiting.ticket] = running
         self._book.add_own(leaf, now=now, work=running.charged, running=1)
         bounded_s = min(max(lag_s, -MAX_PRIORITY_LAG_S), MAX_PRIORITY_LAG_S)
         fair = PRIORITY_PER_S * bounded_s - FILL_PRIORITY * (1.0 - filled)
-        priority = RESUME_PRIORITY if ask.resume else round(fair)
+        priority = RESUME_PRIORITY if request.resume else round(fair)
         return Granted(ticket=waiting.ticket, waited_s=now - waiting.queued_at, priority=priority)
 
-    def _estimate(self, leaf: str, ask: AdmissionRequest) -> float:
-        most = work_of(prefill_tokens=ask.prompt_tokens, decode_tokens=ask.max_tokens)
+    def _estimate(self, leaf: str, request: AdmissionRequest) -> float:
+        """Return the expected work: the leaf's average, at most that of a full-length answer."""
+        max_work = work_of(prefill_tokens=request.prompt_tokens, decode_tokens=request.max_tokens)
         known = self._means.get(leaf)
-        return min(most, DEFAULT_WORK if known is None else known.work)
+        return min(max_work, DEFAULT_WORK if known is None else known.work)
 
-    def _give_up(self, now: float) -> list[Decision]:
+    def _refuse_unservable(self, now: float) -> list[Decision]:
+        """Refuse the requests that can't start in time."""
         decisions: list[Decision] = []
         for leaf, queue in self._queues.items():
-            self._learn_rate(leaf)
+            self._update_rate(leaf)
             for waiting in queue.remove_unservable(now, patience=QUEUE_PATIENCE):
                 decisions.append(self._refuse(leaf, waiting, now))
         late = [one for one in self._resumes if one.give_up_at <= now]
         for waiting in late:
             self._resumes.remove(waiting)
-            decisions.append(self._refuse(self._leaves[waiting.ticket], waiting, now))
+            decisions.append(self._refuse(self._waiting_leaves[waiting.ticket], waiting, now))
         return decisions
 
     def _refuse(self, leaf: str, waiting: QueuedRequest, now: float) -> Refused:
@@ -340,10 +357,11 @@
         drain_s = queue.expected_wait_s(len(queue), now)
         return overloaded_outcome(message, drain_s=drain_s, rng=self._rng)
 
-    def _learn_rate(self, leaf: str) -> None:
+    def _update_rate(self, leaf: str) -> None:
+        """Set the rate to which a leaf's queue is entitled by its slots and mean running time."""
         ended = self._means.get(leaf)
         slots = self._book.own_slots(leaf)
-        # A leaf without demand has no slots yet; that must not read as a queue that is stuck.
+        # A leaf without demand has no slots yet; its rate is unknown then, and not zero.
         known = ended is not None and ended.duration_s > 0 and slots > 0
         self._queue(leaf).entitled_rate = slots / ended.duration_s if ended and known else None
 
@@ -358,14 +376,15 @@
         return _Count(running=running, waiting=len(self._queue(leaf)))
 
     def _move(self, leaf: str, target: str) -> None:
+        """Move the waiting and running requests of a leaf to another leaf."""
         for waiting in self._queues.pop(leaf, LeafQueue()).waiting:
             self._queue(target).push(waiting)
         for running in self._running.values():
             if running.leaf == leaf:
                 running.leaf = target
-        for ticket, old in self._leaves.items():
+        for ticket, old in self._waiting_leaves.items():
             if old == leaf:
-                self._leaves[ticket] = target
+                self._waiting_leaves[ticket] = target
 
 
 def _max_running(limits: Mapping[str, NodeLimits]) -> dict[str, float]:
--- a/lagoonlever/decisions/admission/call_queue.py
+++ b/lagoonlever/decisions/admission/call_queue.py
@@ -1,10 +1,11 @@
-"""One line for the calls to a service: who goes to which runner now, who waits, who is refused.
-
-The load that is answered: four runners of six slots take 142 calls a second of 60 VMs, demand
-swings by half of its mean in seconds, machines turn slow for moments, and an aim of 300 ms
-leaves no time for a second try. Each VM by itself hears of a runner every other second, and sends
-calls behind a queue while a slot is free elsewhere. So one VM a group of runners gives
-out their places, as late as it can: a call waits here and not at a runner.
+"""Queue of calls to one group of runners of a service: which call goes where, waits, is rejected.
+
+Problem: four runners of six slots take 142 calls a second from 60 VMs. Demand changes by half of
+its mean within seconds, machines are slow for moments, and a latency objective of 300 ms leaves
+no time for a second attempt. A VM by itself receives a load report of a runner only every other
+second, and sends calls behind a queue at one runner while a slot is free at another. So one VM
+per group of runners grants their slots, as late as possible: a call waits in this queue and not
+at a runner.
 """
 
 from __future__ import annotations
@@ -21,68 +22,71 @@
     QueuedForCapacity,
     RejectedWithRetryAfter,
 )
-from lagoonlever.decisions.admission.runner_slots import PLACE_KEPT_S, Place, RunnerSlots
-from lagoonlever.decisions.admission.runners import UNSOUND_EXCESS
+from lagoonlever.decisions.admission.runner_slots import MAX_SLOT_HELD_S, GrantedSlot, RunnerSlots
+from lagoonlever.decisions.admission.runners import UNHEALTHY_FAILURE_EXCESS
 from lagoonlever.decisions.targets.told_load import ToldLoad
 
-FIRST_WORK_S = 0.1
-"""Of one call, until answers have come."""
+INITIAL_WORK_S = 0.1
+"""Work time of a call that is assumed until answers have been measured."""
 MAX_QUEUED_PER_RUNNER = 1
-"""Calls beyond its slots that a runner gets while others wait in the line.
+"""Calls that a runner may get beyond its slots while others wait in this queue.
 
-The way from an end to the next begin takes some milliseconds, in which the slot is idle.
+Between the end of one call and the start of the next some milliseconds pass on the network, in
+which the slot would be idle.
 """
 WORK_WEIGHT = 0.05
-RATE_OVER_S = 0.5
-"""The time over which asks are counted."""
+"""Weight of the latest answer in the moving averages of work time and slot time."""
+ARRIVAL_WINDOW_S = 0.5
+"""Time over which the arrival rate of requests is measured."""
 RENEW_INTERVAL_S = 0.1
-"""How often whoever waits asks again."""
-SILENT_S = 0.35
-"""Whoever has not asked again for so long is gone, or waits elsewhere."""
-SLOWER = 1.25
-"""Times the pace of the best runner from which on a free slot may be worse than a wait."""
-PACE_STEP = 0.25
-"""Machines whose pace differs by less count as equal."""
-NEAR_SLACK = 1.5
-"""Calls that a runner of the same data centre may have more than another one."""
-SAMPLE_EVERY = 10
-"""Of repeatable calls, one in so many goes to an unsound runner all the same."""
-LEAST_RETURN_S = 0.1
-MOST_RETURN_S = 5.0
-RETURNS_SHARE = 0.2
-"""The part of what runners can do that is given to callers that return."""
-MOST_AGE_TOLD_S = 99.0
-SURE_PART = 0.85
-"""Of what runners do, on which calls that are late may count."""
-END_SLACK = 1.5
-"""Times the usual work that must be left to a call that is to end in its caller's time."""
+"""Interval at which the VM of a waiting attempt repeats its request."""
+RENEWAL_TIMEOUT_S = 0.35
+"""A waiting attempt that was not renewed for this long is dropped: its VM is gone, or it waits
+elsewhere."""
+SLOWER_FACTOR = 1.25
+"""A machine is slow if its slowdown exceeds another's by this factor; a wait may then be better."""
+SLOWDOWN_STEP = 0.25
+"""Slowdowns are rounded to multiples of this step, so that similar machines count as equal."""
+LOCAL_PREFERENCE_CALLS = 1.5
+"""A runner of the caller's data centre is preferred with up to this many calls more than others."""
+UNHEALTHY_SAMPLE_EVERY = 10
+"""One in this many repeatable calls goes to an unhealthy runner, to notice its recovery."""
+MIN_RETRY_AFTER_S = 0.1
+MAX_RETRY_AFTER_S = 5.0
+RETRY_CAPACITY_SHARE = 0.2
+"""Share of the runners' call rate for which rejected callers' retries are scheduled."""
+MAX_LOGGED_AGE_S = 99.0
+USABLE_CAPACITY_SHARE = 0.85
+"""Share of the runners' call rate that late calls may count on."""
+FINISH_MARGIN_FACTOR = 1.5
+"""A call is expected to end in time if this many times the usual work time is left for it."""
 
 
 class CallEnd(enum.Enum):
-    """What became of an attempt that had a place."""
+    """Result of an attempt that was granted a slot."""
 
     ANSWERED = "answered"
     FAILED = "failed"
-    """The runner told of its own failure."""
+    """The runner reported its own failure."""
     LOST = "lost"
-    """It could not be reached, refused, or did not answer."""
+    """The runner could not be reached, refused the call, or did not answer."""
     UNUSED = "unused"
-    """Nothing was sent, through no fault of the runner, or the caller left."""
+    """The attempt was not sent, through no fault of the runner, or its caller left."""
 
 
 @attrs.frozen(kw_only=True)
 class SlotRequest:
-    """One attempt that wants a place; its ``request`` is unique to the attempt."""
+    """Request of one attempt for a slot; its ``request_id`` is unique to the attempt."""
 
     capacity: CapacityRequest
     data_center: str = ""
     avoid: frozenset[str] = frozenset()
-    """Runners that it has been at already."""
+    """Runners to which the call was sent in former attempts."""
 
 
 @attrs.frozen(kw_only=True)
 class QueueDecision:
-    """What has been decided of an attempt that waited."""
+    """Decision about an attempt that waited."""
 
     request_id: str
     outcome: CapacityGranted | RejectedWithRetryAfter
@@ -91,68 +95,76 @@
 
 @attrs.define(kw_only=True)
 class _Waiter:
-    ask: SlotRequest
+    """Attempt that waits in the queue."""
+
+    request: SlotRequest
     number: int
-    """Of the asks, by which the last ties are broken."""
+    """Sequence number of the request, which breaks ties."""
     since: float
-    renewed: float
+    renewed_at: float
     late: bool = False
-    """It began to wait without a prospect to be on time, and goes after all that have one."""
+    """Whether it is not expected to meet its objective; it goes after all that are."""
 
     @property
     def order(self) -> tuple[bool, int, float, bool, int]:
-        room = self.ask.capacity
-        return (self.late, room.rank, room.start_by, room.repeatable, self.number)
+        """The sort key; lower values go first."""
+        capacity = self.request.capacity
+        return (self.late, capacity.rank, capacity.start_by, capacity.repeatable, self.number)
 
 
 @attrs.define(kw_only=True)
 class CallQueue:
-    """The places of a group of runners; times are seconds of one monotonic clock."""
+    """Slots of a group of runners, and the calls that wait for them.
+
+    Times are seconds of one monotonic clock.
+    """
 
     _runners: dict[str, RunnerSlots] = attrs.field(factory=dict)
     _waiting: dict[str, _Waiter] = attrs.field(factory=dict)
-    _news: list[QueueDecision] = attrs.field(factory=list)
-    _work_s: float = FIRST_WORK_S
-    _held_s: float = FIRST_WORK_S
-    """What a call takes of a slot, with its way there and back, on a machine of the usual pace."""
-    _rate: float = 0.0
-    """Asks a second, as of ``_rate_at``."""
-    _rate_at: float = 0.0
+    _decisions: list[QueueDecision] = attrs.field(factory=list)
+    """Decisions that ``tick`` has not returned yet."""
+    _work_s: float = INITIAL_WORK_S
+    _slot_s: float = INITIAL_WORK_S
+    """Time for which a call holds a slot, network both ways included, at the usual speed."""
+    _arrival_rate: float = 0.0
+    """Requests per second, as of ``_arrival_rate_at``."""
+    _arrival_rate_at: float = 0.0
     _short_since: float | None = None
-    """Since when some were refused or late without a pause."""
-    _last_return: float = float("-inf")
+    """Start of the current capacity shortage, in which calls have been rejected or late."""
+    _last_retry_at: float = float("-inf")
+    """The latest time for which a retry was scheduled."""
     _samples: int = 0
-    _asked: int = 0
+    _request_count: int = 0
 
     @property
     def work_s(self) -> float:
-        """What a call usually takes on a machine of the usual pace."""
+        """The usual work time of a call at the usual speed, in seconds."""
         return self._work_s
 
     @property
     def waiting(self) -> int:
-        """The calls that wait."""
+        """The number of attempts that wait."""
         return len(self._waiting)
 
     def runner(self, name: str) -> RunnerSlots | None:
-        """Give what is known of a runner."""
+        """Return the state of a runner, or None if it is not in this group."""
         return self._runners.get(name)
 
-    def per_s(self, now: float) -> float:
-        """Give the calls that the runners can do in a second, at their pace now."""
-        able = (each for each in self._runners.values() if self._is_able(each, now))
-        return sum(self._per_s_of(each, now) for each in able)
+    def calls_per_s(self, now: float) -> float:
+        """Return the calls per second that the usable runners can do at their present speed."""
+        usable = (each for each in self._runners.values() if self._is_usable(each, now))
+        return sum(self._calls_per_s_of(each, now) for each in usable)
 
     def describe(self, now: float) -> str:
-        """Give each runner's calls, slots, slowness and the age of its word, for a log line."""
+        """Return each runner's calls, slots, slowdown and age of its load report, for the log."""
         return ", ".join(
-            f"{each.name} {each.busy(now):.0f}/{each.slots:g} x{each.slowness(now):.2f}"
-            f" {min(each.age_s(now), MOST_AGE_TOLD_S):.2f} s"
+            f"{each.name} {each.busy_slots(now):.0f}/{each.slots:g} x{each.slowdown(now):.2f}"
+            f" {min(each.report_age_s(now), MAX_LOGGED_AGE_S):.2f} s"
             for each in self._runners.values()
         )
 
     def retain(self, data_centers: Mapping[str, str]) -> None:
-        """Give out places at these runners from now on, by name, and at no others."""
+        """Replace the group by these runners; ``data_centers`` maps names to data centres."""
         for name in self._runners.keys() - data_centers.keys():
             del self._runners[name]
         for name, data_center in data_centers.items():
@@ -160,50 +172,60 @@
                 self._runners[name] = RunnerSlots(name=name, data_center=data_center)
 
     def record_restart(self, name: str) -> None:
-        """Note that another process has a runner's id: what was known of it is void."""
+        """Discard a runner's state, as a new process has taken over its id."""
         former = self._runners.pop(name, None)
         if former is not None:
             self._runners[name] = RunnerSlots(name=name, data_center=former.data_center)
 
-    def request_slot(self, ask: SlotRequest, now: float) -> CapacityOutcome:
-        """Decide for an attempt; the same one may ask again, and is given one place at most."""
-        request = ask.capacity.request_id
-        given = self._given(request)
-        if given is not None:
-            return CapacityGranted(target=given.name)
-        waiter = self._waiting.get(request)
+    def request_slot(self, request: SlotRequest, now: float) -> CapacityOutcome:
+        """Grant a slot to an attempt, queue it, or reject it.
+
+        The call is idempotent: an attempt that asks again renews its wait, and holds one slot
+        at most.
+        """
+        request_id = request.capacity.request_id
+        granted = self._granted_to(request_id)
+        if granted is not None:
+            return CapacityGranted(target=granted.name)
+        waiter = self._waiting.get(request_id)
         if waiter is not None:
-            waiter.renewed = now
-            return self._in_line(waiter)
-        self._count_ask(now)
-        self._expire(now)
-        self._asked += 1
-        return self._join(_Waiter(ask=ask, number=self._asked, since=now, renewed=now), now)
+            waiter.renewed_at = now
+            return self._queued(waiter)
+        self._count_arrival(now)
+        self._release_expired(now)
+        self._request_count += 1
+        return self._enqueue(
+            _Waiter(request=request, number=self._request_count, since=now, renewed_at=now), now
+        )
 
     def request_second_slot(
-        self, ask: SlotRequest, *, first: str, now: float
+        self, request: SlotRequest, *, first: str, now: float
     ) -> CapacityGranted | QueuedForCapacity:
-        """Give a place for a second attempt if the runner of the first is in a bad state.
+        """Grant a slot for a hedge if runner ``first`` of the first attempt is in trouble.
 
-        It never takes a slot that somebody waits for.
+        A hedge never takes a slot for which an attempt waits.
         """
-        given = self._given(ask.capacity.request_id)
-        if given is not None:
-            return CapacityGranted(target=given.name)
-        best = None if self._waiting or not self._in_trouble(first, now) else self._best(ask, now)
+        granted = self._granted_to(request.capacity.request_id)
+        if granted is not None:
+            return CapacityGranted(target=granted.name)
+        best = (
+            None
+            if self._waiting or not self._in_trouble(first, now)
+            else self._best_runner(request, now)
+        )
         if best is None:
             return QueuedForCapacity(seconds=RENEW_INTERVAL_S)
-        return self._give(ask, best, now)
+        return self._grant(request, best, now)
 
-    def withdraw(self, request: str) -> None:
-        """Note that an attempt neither waits nor has a use for a place any longer."""
-        self._waiting.pop(request, None)
+    def withdraw(self, request_id: str) -> None:
+        """Remove an attempt from the queue, and release its slot."""
+        self._waiting.pop(request_id, None)
         for runner in self._runners.values():
-            runner.release(request)
+            runner.release(request_id)
 
     def record_end(
         self,
-        request: str,
+        request_id: str,
         runner: str,
         end: CallEnd,
         now: float,
@@ -211,207 +233,235 @@
         seconds: float = 0.0,
         load: ToldLoad | None = None,
     ) -> None:
-        """Take the end of an attempt, its time at the runner, and the runner's word in it."""
-        self.withdraw(request)
+        """Record the end of an attempt: its time at the runner, and the load report with it."""
+        self.withdraw(request_id)
         known = self._runners.get(runner)
         if known is None:
             return
-        place = known.release(request)
+        slot = known.release(request_id)
         if end is CallEnd.ANSWERED:
-            known.answered(now)
-            held_s = now - place.given_at if place else seconds
-            # With more calls than slots some of the time was spent in the runner's own queue.
-            held_s /= max(1.0, (len(known.places) + 1) / known.slots)
-            self._learn(seconds / known.slowness(now), held_s / known.slowness(now))
+            known.record_answer(now)
+            slot_s = now - slot.granted_at if slot else seconds
+            # With more calls than slots, part of the time was spent in the runner's own queue.
+            slot_s /= max(1.0, (len(known.granted) + 1) / known.slots)
+            self._update_averages(seconds / known.slowdown(now), slot_s / known.slowdown(now))
         elif end is CallEnd.FAILED:
-            known.failed(now)
+            known.record_failure(now)
         elif end is CallEnd.LOST:
-            known.lost(now)
+            known.record_loss(now)
         if load is not None:
-            known.told(load, now, work_s=self._work_s)
+            known.record_load(load, now, work_s=self._work_s)
 
     def tick(self, now: float) -> tuple[QueueDecision, ...]:
-        """Give out what is free; gives what was decided of those that wait."""
-        self._expire(now)
+        """Drop expired attempts, grant free slots, and return the decisions since the last call."""
+        self._release_expired(now)
         for waiter in list(self._waiting.values()):
-            if now - waiter.renewed > SILENT_S:
-                self.withdraw(waiter.ask.capacity.request_id)
-            elif self._is_lost(waiter, now):
-                self._put(waiter, self._refusal(waiter.ask, now), now)
-        self._serve(now)
-        news, self._news = tuple(self._news), []
-        return news
-
-    def _expire(self, now: float) -> None:
+            if now - waiter.renewed_at > RENEWAL_TIMEOUT_S:
+                self.withdraw(waiter.request.capacity.request_id)
+            elif self._is_unservable(waiter, now):
+                self._decide(waiter, self._rejection(waiter.request, now), now)
+        self._grant_free_slots(now)
+        decisions, self._decisions = tuple(self._decisions), []
+        return decisions
+
+    def _release_expired(self, now: float) -> None:
         for runner in self._runners.values():
-            runner.expire(now)
-
-    def _join(self, waiter: _Waiter, now: float) -> CapacityOutcome:
-        request = waiter.ask.capacity.request_id
-        self._waiting[request] = waiter
-        self._serve(now)
-        if request not in self._waiting:
-            self._news = [news for news in self._news if news.request_id != request]
-            given = self._given(request)
-            assert given is not None
-            return CapacityGranted(target=given.name)
-        if self._start_of(waiter, now) <= waiter.ask.capacity.start_by:
-            return self._in_line(waiter)
+            runner.release_expired(now)
+
+    def _enqueue(self, waiter: _Waiter, now: float) -> CapacityOutcome:
+        """Add an attempt, and decide on it at once if it is served or can't be served in time."""
+        request_id = waiter.request.capacity.request_id
+        self._waiting[request_id] = waiter
+        self._grant_free_slots(now)
+        if request_id not in self._waiting:
+            self._decisions = [each for each in self._decisions if each.request_id != request_id]
+            granted = self._granted_to(request_id)
+            assert granted is not None
+            return CapacityGranted(target=granted.name)
+        if self._expected_start(waiter, now) <= waiter.request.capacity.start_by:
+            return self._queued(waiter)
         waiter.late = True
         if self._ends_in_time(waiter, now):
-            return self._in_line(waiter)
-        self.withdraw(request)
-        return self._refusal(waiter.ask, now)
+            return self._queued(waiter)
+        self.withdraw(request_id)
+        return self._rejection(waiter.request, now)
 
-    def _in_line(self, waiter: _Waiter) -> QueuedForCapacity:
-        return QueuedForCapacity(seconds=RENEW_INTERVAL_S, ahead=self._ahead(waiter))
+    def _queued(self, waiter: _Waiter) -> QueuedForCapacity:
+        return QueuedForCapacity(seconds=RENEW_INTERVAL_S, ahead=self._count_ahead(waiter))
 
-    def _ahead(self, waiter: _Waiter) -> int:
+    def _count_ahead(self, waiter: _Waiter) -> int:
         return sum(1 for other in self._waiting.values() if other.order < waiter.order)
 
-    def _start_of(self, waiter: _Waiter, now: float) -> float:
-        """Give when its turn comes; never where no runner is able."""
-        per_s = self.per_s(now)
-        return now + (self._ahead(waiter) + 1) / per_s if per_s else float("inf")
+    def _expected_start(self, waiter: _Waiter, now: float) -> float:
+        """Return the time at which a waiter's turn comes; infinity if no runner is usable."""
+        per_s = self.calls_per_s(now)
+        return now + (self._count_ahead(waiter) + 1) / per_s if per_s else float("inf")
 
     def _ends_in_time(self, waiter: _Waiter, now: float) -> bool:
-        """Tell whether a late one is served before its caller's time is over.
+        """Check whether a late waiter is expected to be answered before its caller's deadline.
 
-        It gets only what those on time leave over: nothing while demand exceeds the runners.
+        Late calls get only the capacity that calls on time leave over: none while demand exceeds
+        the runners' rate.
         """
-        left_per_s = SURE_PART * self.per_s(now) - self._rate_now(now)
+        left_per_s = USABLE_CAPACITY_SHARE * self.calls_per_s(now) - self._arrivals_per_s(now)
         if left_per_s <= 0:
             return False
         late = sum(1 for other in self._waiting.values() if other.late)
-        ahead_s = len(self._waiting) / self.per_s(now) + late / left_per_s
-        return now + ahead_s + END_SLACK * self._work_s <= waiter.ask.capacity.end_by
+        ahead_s = len(self._waiting) / self.calls_per_s(now) + late / left_per_s
+        return now + ahead_s + FINISH_MARGIN_FACTOR * self._work_s <= waiter.request.capacity.end_by
 
-    def _is_lost(self, waiter: _Waiter, now: float) -> bool:
-        """Tell whether one has no prospect any more; one that turned late goes after the others.
+    def _is_unservable(self, waiter: _Waiter, now: float) -> bool:
+        """Check whether a waiter can't be answered in time any more; mark it late if due.
 
-        Served in turn, those that are late already would make all behind them late.
+        A late waiter goes after the others. If it kept its turn, late calls would make all
+        calls behind them late as well.
         """
-        room = waiter.ask.capacity
-        if now + self._work_s > room.end_by:
+        capacity = waiter.request.capacity
+        if now + self._work_s > capacity.end_by:
             return True
-        if waiter.late or now <= room.start_by + self._work_s:
+        if waiter.late or now <= capacity.start_by + self._work_s:
             return False
         waiter.late = True
         return not self._ends_in_time(waiter, now)
 
-    def _serve(self, now: float) -> None:
-        """Give places to those in front, until the next has to wait."""
+    def _grant_free_slots(self, now: float) -> None:
+        """Grant slots in order, up to the first waiter for which there is none.
+
+        A waiter that avoids some runners does not hold up those behind it.
+        """
         for waiter in sorted(self._waiting.values(), key=lambda each: each.order):
-            best = self._best(waiter.ask, now) or self._best(
-                waiter.ask, now, queued=MAX_QUEUED_PER_RUNNER
+            best = self._best_runner(waiter.request, now) or self._best_runner(
+                waiter.request, now, queued=MAX_QUEUED_PER_RUNNER
             )
-            if best is None and not waiter.ask.avoid:
+            if best is None and not waiter.request.avoid:
                 return
-            if best is not None and not self._better_waits(waiter, best, now):
-                self._put(waiter, self._give(waiter.ask, best, now), now)
+            if best is not None and not self._should_wait_for_faster(waiter, best, now):
+                self._decide(waiter, self._grant(waiter.request, best, now), now)
         if not self._waiting:
             self._short_since = None
 
-    def _put(
+    def _decide(
         self, waiter: _Waiter, outcome: CapacityGranted | RejectedWithRetryAfter, now: float
     ) -> None:
-        request = waiter.ask.capacity.request_id
-        del self._waiting[request]
-        self._news.append(
-            QueueDecision(request_id=request, outcome=outcome, waited_s=now - waiter.since)
+        """Remove a waiter from the queue, and record the decision for ``tick``."""
+        request_id = waiter.request.capacity.request_id
+        del self._waiting[request_id]
+        self._decisions.append(
+            QueueDecision(request_id=request_id, outcome=outcome, waited_s=now - waiter.since)
         )
 
-    def _best(self, ask: SlotRequest, now: float, *, queued: int = 0) -> RunnerSlots | None:
-        """Give the runner at which the call ends first; near and idle ones on ties."""
-        open_to = [each for each in self._runners.values() if each.name not in ask.avoid]
-        free = [each for each in open_to if each.takes(now, work_s=self._work_s, queued=queued)]
-        if not any(self._is_able(each, now) for each in self._runners.values()):
-            # Every runner looks stalled: one of them is still better than a refusal.
-            free = [each for each in open_to if each.free(now) >= 1.0]
-        free = self._sound(free, repeatable=ask.capacity.repeatable)
-        return min(free, key=lambda each: self._cost(each, ask, now), default=None)
-
-    def _cost(self, runner: RunnerSlots, ask: SlotRequest, now: float) -> tuple[bool, int, float]:
+    def _best_runner(
+        self, request: SlotRequest, now: float, *, queued: int = 0
+    ) -> RunnerSlots | None:
+        """Return the runner at which the call ends first; on ties a local and idle one."""
+        allowed = [each for each in self._runners.values() if each.name not in request.avoid]
+        free = [each for each in allowed if each.can_grant(now, work_s=self._work_s, queued=queued)]
+        if not any(self._is_usable(each, now) for each in self._runners.values()):
+            # If every runner looks stalled, trying one of them is still better than a rejection.
+            free = [each for each in allowed if each.free_slots(now) >= 1.0]
+        free = self._healthy(free, repeatable=request.capacity.repeatable)
+        return min(free, key=lambda each: self._cost(each, request, now), default=None)
+
+    def _cost(
+        self, runner: RunnerSlots, request: SlotRequest, now: float
+    ) -> tuple[bool, int, float]:
+        """Return the sort key of a runner: late answers, slowdown, then load per slot."""
         late = runner.is_late(now, work_s=self._work_s)
-        pace = round(runner.slowness(now) / PACE_STEP)
-        near = NEAR_SLACK if ask.data_center == runner.data_center else 0.0
-        return (late, pace, (runner.busy(now) - near) / runner.slots)
+        slowdown = round(runner.slowdown(now) / SLOWDOWN_STEP)
+        local = LOCAL_PREFERENCE_CALLS if request.data_center == runner.data_center else 0.0
+        return (late, slowdown, (runner.busy_slots(now) - local) / runner.slots)
 
-    def _sound(self, runners: list[RunnerSlots], *, repeatable: bool) -> list[RunnerSlots]:
-        """Leave out runners that fail far more often than the best one."""
+    def _healthy(self, runners: list[RunnerSlots], *, repeatable: bool) -> list[RunnerSlots]:
+        """Leave out runners that fail far more often than the best one.
+
+        One in ``UNHEALTHY_SAMPLE_EVERY`` repeatable calls gets only the unhealthy ones instead, to
+        notice their recovery.
+        """
         if not runners:
             return runners
-        least = min(each.failure_rate for each in self._runners.values())
-        sound = [each for each in runners if each.failure_rate <= least + UNSOUND_EXCESS]
-        if len(sound) == len(runners):
+        lowest = min(each.failure_rate for each in self._runners.values())
+        healthy = [
+            each for each in runners if each.failure_rate <= lowest + UNHEALTHY_FAILURE_EXCESS
+        ]
+        if len(healthy) == len(runners):
             return runners
         self._samples += repeatable
-        if repeatable and self._samples % SAMPLE_EVERY == 0:
-            return [each for each in runners if each not in sound]
-        return sound or runners
+        if repeatable and self._samples % UNHEALTHY_SAMPLE_EVERY == 0:
+            return [each for each in runners if each not in healthy]
+        return healthy or runners
 
-    def _better_waits(self, waiter: _Waiter, best: RunnerSlots, now: float) -> bool:
-        """Tell whether a faster runner that is full now would still end the call sooner."""
-        pace = best.slowness(now)
+    def _should_wait_for_faster(self, waiter: _Waiter, best: RunnerSlots, now: float) -> bool:
+        """Check whether a faster runner that is full now would still end the call sooner."""
+        slowdown = best.slowdown(now)
         faster = [
             each
             for each in self._runners.values()
-            if self._is_able(each, now)
-            and each.name not in waiter.ask.avoid
-            and each.slowness(now) * SLOWER < pace
+            if self._is_usable(each, now)
+            and each.name not in waiter.request.avoid
+            and each.slowdown(now) * SLOWER_FACTOR < slowdown
         ]
-        per_s = sum(self._per_s_of(each, now) for each in faster)
+        per_s = sum(self._calls_per_s_of(each, now) for each in faster)
         if not per_s:
             return False
-        wait_s = (self._ahead(waiter) + 1) / per_s
-        slowest = max(each.slowness(now) for each in faster)
-        ends_sooner = wait_s + slowest * self._work_s < pace * self._work_s
-        return ends_sooner and now + wait_s <= waiter.ask.capacity.start_by
-
-    def _give(self, ask: SlotRequest, runner: RunnerSlots, now: float) -> CapacityGranted:
-        room = ask.capacity
-        until = min(room.end_by, now + PLACE_KEPT_S)
-        runner.give(Place(request=room.request_id, given_at=now, until=until))
+        wait_s = (self._count_ahead(waiter) + 1) / per_s
+        slowest = max(each.slowdown(now) for each in faster)
+        ends_sooner = wait_s + slowest * self._work_s < slowdown * self._work_s
+        return ends_sooner and now + wait_s <= waiter.request.capacity.start_by
+
+    def _grant(self, request: SlotRequest, runner: RunnerSlots, now: float) -> CapacityGranted:
+        capacity = request.capacity
+        expires_at = min(capacity.end_by, now + MAX_SLOT_HELD_S)
+        runner.grant(
+            GrantedSlot(request_id=capacity.request_id, granted_at=now, expires_at=expires_at)
+        )
         return CapacityGranted(target=runner.name)
 
-    def _given(self, request: str) -> RunnerSlots | None:
-        return next((each for each in self._runners.values() if request in each.places), None)
+    def _granted_to(self, request_id: str) -> RunnerSlots | None:
+        """Return the runner at which an attempt holds a slot, or None."""
+        return next((each for each in self._runners.values() if request_id in each.granted), None)
 
-    def _is_able(self, runner: RunnerSlots, now: float) -> bool:
+    def _is_usable(self, runner: RunnerSlots, now: float) -> bool:
         return not runner.stalled and not runner.is_silent(now, work_s=self._work_s)
 
     def _in_trouble(self, name: str, now: float) -> bool:
-        """Tell whether a call there is likely to be answered late or never."""
+        """Check whether a call at a runner is likely to be answered late or never."""
         runner = self._runners.get(name)
         if runner is None or runner.stalled or runner.is_late(now, work_s=self._work_s):
             return True
-        paces = [each.slowness(now) for each in self._runners.values()]
-        return runner.slowness(now) > SLOWER * min(paces) or runner.free(now) < 0
+        slowdowns = [each.slowdown(now) for each in self._runners.values()]
+        return runner.slowdown(now) > SLOWER_FACTOR * min(slowdowns) or runner.free_slots(now) < 0
 
-    def _refusal(self, ask: SlotRequest, now: float) -> RejectedWithRetryAfter:
-        """Refuse; those refused come back one after the other, once what is short is over."""
+    def _rejection(self, request: SlotRequest, now: float) -> RejectedWithRetryAfter:
+        """Return a rejection whose retry is scheduled after the expected end of the shortage.
+
+        Retries are spaced evenly one after the other, so that they don't arrive as a burst.
+        """
         if self._short_since is None:
             self._short_since = now
-        per_s = max(self.per_s(now), 1.0)
-        drained_s = max(LEAST_RETURN_S, len(self._waiting) / per_s, now - self._short_since)
-        earliest = now + min(drained_s, MOST_RETURN_S / 2)
-        self._last_return = max(self._last_return + 1 / (RETURNS_SHARE * per_s), earliest)
-        useful_s = ask.capacity.end_by - now - END_SLACK * self._work_s
-        retry_after_s = min(self._last_return - now, max(LEAST_RETURN_S, useful_s), MOST_RETURN_S)
+        per_s = max(self.calls_per_s(now), 1.0)
+        drained_s = max(MIN_RETRY_AFTER_S, len(self._waiting) / per_s, now - self._short_since)
+        earliest = now + min(drained_s, MAX_RETRY_AFTER_S / 2)
+        self._last_retry_at = max(
+            self._last_retry_at + 1 / (RETRY_CAPACITY_SHARE * per_s), earliest
+        )
+        useful_s = request.capacity.end_by - now - FINISH_MARGIN_FACTOR * self._work_s
+        retry_after_s = min(
+            self._last_retry_at - now, max(MIN_RETRY_AFTER_S, useful_s), MAX_RETRY_AFTER_S
+        )
         detail = f"{len(self._waiting)} calls wait for runners that do {per_s:.0f} a second"
         return RejectedWithRetryAfter(detail=detail, retry_after_s=round(retry_after_s, 2))
 
-    def _learn(self, work_s: float, held_s: float) -> None:
+    def _update_averages(self, work_s: float, slot_s: float) -> None:
         self._work_s += WORK_WEIGHT * (work_s - self._work_s)
-        self._held_s += WORK_WEIGHT * (held_s - self._held_s)
+        self._slot_s += WORK_WEIGHT * (slot_s - self._slot_s)
 
-    def _per_s_of(self, runner: RunnerSlots, now: float) -> float:
-        return runner.slots / (self._held_s * runner.slowness(now))
+    def _calls_per_s_of(self, runner: RunnerSlots, now: float) -> float:
+        return runner.slots / (self._slot_s * runner.slowdown(now))
 
-    def _count_ask(self, now: float) -> None:
-        self._rate = self._rate_now(now) + 1 / RATE_OVER_S
-        self._rate_at = now
+    def _count_arrival(self, now: float) -> None:
+        self._arrival_rate = self._arrivals_per_s(now) + 1 / ARRIVAL_WINDOW_S
+        self._arrival_rate_at = now
 
-    def _rate_now(self, now: float) -> float:
-        """Give the asks a second; the weight of each falls to nothing in some ``RATE_OVER_S``."""
-        return self._rate * max(0.0, 1 - (now - self._rate_at) / RATE_OVER_S)
+    def _arrivals_per_s(self, now: float) -> float:
+        """Return the requests per second; each one's weight falls to zero in the window."""
+        return self._arrival_rate * max(0.0, 1 - (now - self._arrival_rate_at) / ARRIVAL_WINDOW_S)
--- a/lagoonlever/decisions/admission/capacity.py
+++ b/lagoonlever/decisions/admission/capacity.py
@@ -1,7 +1,8 @@
-"""The outcomes of asking for room at the targets of a service: where, when, or not at all.
+"""Requests for capacity at the targets of a service, and their outcomes.
 
-Streams and calls put the same question. Work that is given a place is sent at once; work
-that waits holds no connection to a target and has not run; work that is refused never runs.
+Streams and calls use the same request. Granted work is sent to its target at once. Queued work
+holds no connection to a target and has not run. Rejected work never runs, so that its caller
+can safely send it again.
 """
 
 from __future__ import annotations
@@ -11,40 +12,40 @@
 
 @attrs.frozen(kw_only=True)
 class CapacityRequest:
-    """What work needs to know of room; times are seconds of the asking VM's monotonic clock."""
+    """Request for capacity; times are seconds of the requesting VM's monotonic clock."""
 
     request_id: str
     service: str
     rank: int
-    """0 is the most urgent."""
+    """Urgency of the request; 0 is the most urgent."""
     arrived_at: float
     start_by: float
-    """The latest start with which its answer is still on time."""
+    """Latest start at which the answer still meets its latency objective."""
     end_by: float
-    """When its caller's time is over."""
+    """Time at which the caller's deadline passes."""
     repeatable: bool = False
     organisation: str | None = None
 
 
 @attrs.frozen(kw_only=True)
 class CapacityGranted:
-    """The work goes to this target now; the place is kept for a moment."""
+    """Permission to send the work to a target now; the capacity is reserved for a short time."""
 
     target: str
 
 
 @attrs.frozen(kw_only=True)
 class QueuedForCapacity:
-    """The work waits: it is told of its place, or asks again after ``seconds``."""
+    """Answer that the work waits; the requester is notified, or asks again after ``seconds``."""
 
     seconds: float
     ahead: int = 0
-    """Work of the same service that goes first, when this was decided."""
+    """Number of queued requests of the same service that went first when this was decided."""
 
 
 @attrs.frozen(kw_only=True)
 class RejectedWithRetryAfter:
-    """No target can begin the work in time; there will be room after ``retry_after_s``."""
+    """Answer that no target can start the work in time; retry after ``retry_after_s``."""
 
     detail: str
     retry_after_s: float
--- a/lagoonlever/decisions/admission/hedging.py
+++ b/lagoonlever/decisions/admission/hedging.py
@@ -1,7 +1,8 @@
-"""Idempotent calls: which runner to ask, when to ask a second one, when to stop asking.
+"""Attempts of an idempotent call: which runner to call, when to send a hedge, when to stop.
 
-A hedge is sent after a delay learnt from answers, and paid for out of the
-budgets of the organisation and of the runner that it goes to.
+A hedge is a second attempt sent while the first is still open. It is sent after a delay learnt
+from the latencies of answers, and is paid for from the retry budgets of the organisation and of
+the runner that it goes to, so that hedges can't multiply an overload.
 """
 
 from __future__ import annotations
@@ -16,31 +17,34 @@
 from lagoonlever.decisions.shares.budgets import RetryBudget, take_extra
 
 HEDGE_QUANTILE = 0.95
-LEAST_DELAY_S = 0.005
-MOST_DELAY_S = 1.0
-FIRST_DELAY_S = 0.05
-"""Until enough answers have been seen."""
+MIN_DELAY_S = 0.005
+MAX_DELAY_S = 1.0
+INITIAL_DELAY_S = 0.05
+"""Hedge delay until ``SAMPLES_NEEDED`` answers have been measured."""
 SAMPLES = 256
 SAMPLES_NEEDED = 16
 SORT_EVERY = 16
+"""The delay is computed again after this many answers, as it sorts all samples."""
 
 MAX_ATTEMPTS = 3
-MOST_UNREACHED = 4
-"""Attempts of one call that reach no runner, before its caller is told."""
-TRIES_TO_REACH = 2
-"""Of one runner by one call: a connection may be late because this process was."""
-LATE_TURN_S = 0.005
+MAX_UNREACHED = 4
+"""A call fails after this many attempts that reached no runner."""
+MAX_CONNECTION_TRIES = 2
+"""Attempts of one call to reach one runner: a connection may time out as this process was late."""
+LATE_PROCESS_S = 0.005
+"""A hedge that is overdue by more than this shows that this process itself ran late."""
 RECHECK_S = 0.05
-"""A call that waits while the budget is empty looks again after this time."""
+"""Delay before a call looks again for a hedge that was due while budget or runner was missing."""
 
 
 @attrs.define(kw_only=True)
 class HedgeDelay:
-    """How long answers take, learnt from the last ``SAMPLES`` of them."""
+    """Hedge delay in seconds: a high quantile of the last ``SAMPLES`` answers' latencies."""
 
     _latencies: deque[float] = attrs.field(factory=lambda: deque(maxlen=SAMPLES))
-    _delay_s: float = FIRST_DELAY_S
+    _delay_s: float = INITIAL_DELAY_S
     _unsorted: int = 0
+    """Answers since the delay was last computed."""
 
     @property
     def delay_s(self) -> float:
@@ -48,10 +52,10 @@
         return self._delay_s
 
     def on_answer(self, latency_s: float) -> None:
-        """Learn from an answer's time since its own attempt was sent.
+        """Record the latency of an answer, measured from the sending of its own attempt.
 
-        Attempts that were given up are no samples: with them a stalled runner
-        would push the delay up for all, until nothing is hedged any more.
+        Attempts that were given up must not be recorded: with them a stalled runner
+        would raise the delay for all calls, until nothing is hedged any more.
         """
         self._latencies.append(latency_s)
         self._unsorted += 1
@@ -59,13 +63,13 @@
             return
         self._unsorted = 0
         ordered = sorted(self._latencies)
-        learnt = ordered[int(HEDGE_QUANTILE * (len(ordered) - 1))]
-        self._delay_s = min(MOST_DELAY_S, max(LEAST_DELAY_S, learnt))
+        quantile = ordered[int(HEDGE_QUANTILE * (len(ordered) - 1))]
+        self._delay_s = min(MAX_DELAY_S, max(MIN_DELAY_S, quantile))
 
 
 @dataclass(frozen=True, kw_only=True)
 class Send:
-    """Send an attempt to this runner now."""
+    """Decision to send attempt ``number`` (from 1) to this runner now."""
 
     runner: str
     number: int
@@ -73,14 +77,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Wait:
-    """Wait for news until this time, then ask again."""
+    """Decision to wait for an event until this time (monotonic seconds), then decide again."""
 
     until: float
 
 
 @dataclass(frozen=True, kw_only=True)
 class Stop:
-    """No answer is to be had; ``sent`` says whether any attempt was sent."""
+    """Decision to end the call without an answer; ``sent`` tells whether any attempt was sent."""
 
     sent: bool
     timed_out: bool
@@ -92,13 +96,13 @@
 
 @attrs.define(kw_only=True)
 class HedgedCall:
-    """One idempotent call: its attempts, and what to do next.
+    """Attempts of one idempotent call, and the decision on its next step.
 
-    ``live_names`` is asked at each decision, so that a hedge that was pending
-    when its runner began to leave goes elsewhere.
+    ``live_names`` is called at each decision, so that a pending hedge goes elsewhere
+    if its runner has begun to leave.
 
-    An attempt that reached no runner is none of the call's attempts. It goes to another
-    runner, and to the same one again only where no other is left.
+    An attempt that reached no runner does not count as an attempt of the call. It is sent to
+    another runner, and to the same one again only if no other is left.
     """
 
     _live_names: LiveNames
@@ -111,8 +115,9 @@
     _near: frozenset[str] = frozenset()
     _sent_at: dict[str, float] = attrs.field(factory=dict)
     _open: set[str] = attrs.field(factory=set)
+    """Runners at which an attempt is open."""
     _unreached: Counter[str] = attrs.field(factory=Counter)
-    """Runners that an attempt did not reach, with how many did not."""
+    """Number of attempts that did not reach their runner, by runner."""
     _hedge_at: float = 0.0
     _postponed: bool = False
 
@@ -134,23 +139,23 @@
     @property
     def _may_send(self) -> bool:
         """Whether the call may have one more attempt."""
-        return self.attempts < self._max_attempts and self._unreached.total() < MOST_UNREACHED
+        return self.attempts < self._max_attempts and self._unreached.total() < MAX_UNREACHED
 
     def wants_extra(self, now: float) -> bool:
-        """Tell whether an attempt after the first is due, if there is a runner for it."""
+        """Check whether an attempt after the first is due, provided that a runner is available."""
         if not self.tried or not self._may_send or now >= self._deadline:
             return False
         return not self._open or (self._hedge and now >= self._hedge_at)
 
     def decide(self, now: float) -> CallDecision:
-        """Give the next step; a ``Send`` counts as sent."""
+        """Decide the next step; the attempt of a returned ``Send`` counts as sent."""
         if now >= self._deadline:
             return Stop(sent=self.attempts > 0, timed_out=True)
         if not self._sent_at:
-            return self._first(now)
-        if self._open and not self._due(now):
+            return self._decide_first(now)
+        if self._open and not self._hedge_due(now):
             return Wait(until=min(self._hedge_at, self._deadline))
-        extra = self._extra(now)
+        extra = self._decide_extra(now)
         if extra is not None:
             return extra
         if not self._open:
@@ -159,7 +164,7 @@
         return Wait(until=min(self._hedge_at, self._deadline))
 
     def on_answer(self, runner: str, now: float) -> None:
-        """Take a whole answer: the call is over, other attempts are given up."""
+        """Record a complete answer, which ends the call, and give up its other attempts."""
         self._open.discard(runner)
         latency_s = now - self._sent_at[runner]
         self._runners.on_answer(runner, now=now, latency_s=latency_s)
@@ -168,27 +173,27 @@
         self.give_up(now)
 
     def on_failure(self, runner: str, now: float, *, overloaded: bool) -> None:
-        """Take the failure of an attempt; a refusal for load shrinks the budget."""
+        """Record a failed attempt; a refusal because of load reduces the budget."""
         self._open.discard(runner)
         self._runners.on_failure(runner, now=now)
         if overloaded:
             self._budget.on_overload()
 
     def on_unsent(self, runner: str) -> None:
-        """Take back an attempt that was not sent, as its runner takes no more for now."""
+        """Remove an attempt that was not sent, as its runner accepts no more calls for now."""
         self._open.discard(runner)
         del self._sent_at[runner]
         self._runners.on_unsent(runner)
 
     def on_unreached(self, runner: str, now: float) -> None:
-        """Take back an attempt that did not reach its runner."""
+        """Remove an attempt that did not reach its runner, and count that runner as failed."""
         self._open.discard(runner)
         del self._sent_at[runner]
         self._unreached[runner] += 1
         self._runners.on_failure(runner, now=now)
 
     def on_error(self, runner: str) -> None:
-        """Take an answer that tells of a failure of the runner: another one may do better."""
+        """Record an answer that reports the runner's own failure; another runner may succeed."""
         self._open.discard(runner)
         self._runners.on_error(runner)
 
@@ -202,32 +207,33 @@
         self._open.clear()
 
     def on_timeout(self, now: float) -> None:
-        """Note that the deadline passed without an answer: a sign of overload."""
+        """Record that the deadline passed without an answer, which counts as overload."""
         self._budget.on_overload()
         for runner in self._open:
             self._runners.on_failure(runner, now=now)
         self._open.clear()
 
-    def _due(self, now: float) -> bool:
-        """Tell whether a hedge is due; once more later if this process was late itself.
+    def _hedge_due(self, now: float) -> bool:
+        """Check whether a hedge is due; postpone it once if this process itself ran late.
 
-        A process that gets its turn late finds every call late, with the
-        answers waiting in its sockets. Hedging them all would double the load
-        just when there is no time for it. Only once a call, or a process that
-        is always a little late would never hedge.
+        A process that is scheduled late finds every call late, while the answers wait in its
+        sockets. Hedging them all would double the load just when there is no time for it. Each
+        call is postponed only once: otherwise a process that always runs a little late would
+        never hedge.
         """
-        if now - self._hedge_at > LATE_TURN_S and not self._postponed:
+        if now - self._hedge_at > LATE_PROCESS_S and not self._postponed:
             self._postponed = True
             self._hedge_at = now + self._delay.delay_s
         return now >= self._hedge_at
 
-    def _first(self, now: float) -> CallDecision:
+    def _decide_first(self, now: float) -> CallDecision:
         runner = self._choose(now, probe=True) if self._may_send else None
         if runner is None:
             return Stop(sent=False, timed_out=False)
         return self._send(runner, now)
 
-    def _extra(self, now: float) -> Send | None:
+    def _decide_extra(self, now: float) -> Send | None:
+        """Return a retry or hedge to send; None without a runner, or if a budget is empty."""
         if not self._may_send or (self._open and not self._hedge):
             return None
         runner = self._choose(now, probe=False)
@@ -238,17 +244,21 @@
         return self._send(runner, now)
 
     def _choose(self, now: float, *, probe: bool) -> str | None:
-        """Choose a runner that was not tried; one that was not reached only if nothing is open."""
+        """Choose an untried runner; an unreached one again only if no attempt is open."""
         live = self._live_names()
         others = [name for name in live if name not in self.tried]
         chosen = self._runners.choose(others, now=now, probe=probe, near=self._near)
         if chosen is not None or self._open:
             return chosen
-        again = [name for name in live if 0 < self._unreached[name] < TRIES_TO_REACH]
+        again = [name for name in live if 0 < self._unreached[name] < MAX_CONNECTION_TRIES]
         again = [name for name in again if name not in self._sent_at]
         return self._runners.choose(again, now=now, probe=probe, near=self._near)
 
     def _send(self, runner: str, now: float) -> Send:
+        """Record an attempt as sent, and set the time of the next hedge.
+
+        Each further attempt of a call waits one hedge delay longer.
+        """
         self._sent_at[runner] = now
         self._open.add(runner)
         self._hedge_at = now + self._delay.delay_s * len(self._sent_at)
--- a/lagoonlever/decisions/admission/prompt_queue.py
+++ b/lagoonlever/decisions/admission/prompt_queue.py
@@ -1,14 +1,17 @@
-"""In which order prompts get room at the engines of one service, and which can't in their time.
-
-The load that is answered: bursts of prompts meet a crash of a quarter of the engines. Urgent
-and patient callers ask for the same room, at many VMs that each see few of them. Sent at once
-they queue inside engines, first come first served, while another engine is soon ready; refused
-at once, callers who could have waited for seconds go away unserved. So a prompt that no engine
-can begin well now waits here, and goes out when one can.
-
-The order: by the latest start with which the first event is in time. If the line can't reach
-all of them, by rank first, and one place in four goes to who waits longest behind a more urgent
-kind. Then runs whose prompt is read again: their pause is too long already. Then who is late.
+"""Order in which prompts get capacity at the engines of one service, and which are rejected.
+
+Problem: bursts of prompts coincide with a crash of a quarter of the engines. Urgent and patient
+callers compete for the same capacity, through many VMs that each see only few of them. Prompts
+that are sent at once queue inside engines, first come first served, even where another engine is
+about to become free. Prompts that are rejected at once include callers who could have waited for
+seconds. So a prompt that no engine can start soon enough waits in this queue, and is sent as soon
+as an engine can start it.
+
+Order: prompts that can still meet their objective go first, sorted by the latest start that
+meets it. If the queue can't start all of these in time, they are sorted by rank first, and one
+start in four goes to the prompt that has waited longest behind a more urgent class. Next are
+interrupted streams, whose prompt needs another prefill: their pause is already too long. Prompts
+that have missed their objective go last.
 """
 
 from __future__ import annotations
@@ -22,37 +25,37 @@
 from lagoonlever.decisions.admission.capacity import CapacityRequest, RejectedWithRetryAfter
 
 RENEWAL_TIMEOUT_S = 0.75
-"""A prompt that its VM has not asked for again within this time is dropped."""
-OTHERS_FIRST = 3
-"""Places that go past those of lower rank, before one of them is next."""
+"""A prompt is dropped if its VM has not renewed its request for this long."""
+MAX_CONSECUTIVE_URGENT_STARTS = 3
+"""After this many starts ahead of a waiting lower class, one start goes to that class."""
 RATE_WINDOW_S = 2.0
-LEAST_BUSY_S = 1.0
-"""A line that was there for less tells no rate of its own."""
-LEAST_PER_S = 0.5
-"""Starts a second that are counted on even when none was seen."""
-STALLED_S = 1.0
-"""Without a start, work is placed as if there were no line: what is known of room is wrong."""
-STALLED_READINGS = 3.0
-"""The same in prompts that the engines could have read, where they are few or slow."""
-SURELY = 0.8
-"""Of an expected wait: engines that were lost come back, and some callers go away."""
+MIN_BUSY_S = 1.0
+"""A queue that has been non-empty for less than this has no measured start rate."""
+MIN_STARTS_PER_S = 0.5
+"""Lower bound of the start rate, which also applies when no start was seen."""
+STALL_TIMEOUT_S = 1.0
+"""A non-empty queue without a start for this long is bypassed, as its view of capacity is wrong."""
+STALL_TIMEOUT_PREFILLS = 3.0
+"""The same timeout in prefills that the engines could have done, for few or slow engines."""
+WAIT_DISCOUNT = 0.8
+"""Factor on an expected wait: lost engines come back, and some callers leave the queue."""
 MIN_RETRY_AFTER_S = 0.5
-MOST_RETURN_PART = 1 / 3
-"""Of the caller's time that is left; by then an answer still has time to be made."""
+MAX_RETRY_AFTER_SHARE = 1 / 3
+"""A retry is due within this share of the caller's remaining time, so an answer can still end."""
 
 
 class PriorityClass(enum.IntEnum):
-    """What goes before what."""
+    """Class of a queued prompt; lower values go first."""
 
     IN_TIME = 0
-    BROKEN_OFF = 1
-    """Its caller has a part of the answer; its prompt is read anew."""
+    INTERRUPTED = 1
+    """The caller has received part of the answer; the prompt needs another prefill."""
     LATE = 2
 
 
 @attrs.frozen(kw_only=True)
 class QueuedPromptId:
-    """Whose place it is: the question of a VM."""
+    """Identity of a queued prompt: the VM that requested capacity, and its request's number."""
 
     vm: str
     number: int
@@ -60,192 +63,215 @@
 
 @attrs.define(kw_only=True)
 class QueuedPrompt:
-    """One prompt in line; times are seconds of this VM's monotonic clock."""
+    """Prompt in the queue; times are seconds of this VM's monotonic clock."""
 
     prompt_id: QueuedPromptId
     request: CapacityRequest
     enqueued_at: float
     renewed_at: float
-    """When its VM last asked for it."""
+    """Time at which its VM last requested capacity for it."""
     interrupted: bool = False
 
     def priority_class(self, now: float) -> PriorityClass:
-        """Tell what it goes before."""
+        """Return the class that decides its place in the order."""
         if self.interrupted:
-            return PriorityClass.BROKEN_OFF
+            return PriorityClass.INTERRUPTED
         return PriorityClass.IN_TIME if now <= self.request.start_by else PriorityClass.LATE
 
 
 @attrs.define(kw_only=True)
-class LineRate:
-    """How many prompts a second engines take from a line that is never empty."""
+class StartRate:
+    """Measured rate, in prompts per second, at which engines take prompts from a busy queue.
+
+    Only starts from a queue that is not empty count: starts from an empty queue are limited by
+    demand and say nothing about the engines.
+    """
 
-    _begun: deque[float] = attrs.field(factory=deque)
+    _starts: deque[float] = attrs.field(factory=deque)
     _busy_since: float | None = None
 
-    def busy(self, now: float) -> None:
-        """Note that somebody waits."""
+    def mark_busy(self, now: float) -> None:
+        """Record that the queue is not empty."""
         if self._busy_since is None:
             self._busy_since = now
 
-    def empty(self) -> None:
-        """Note that nobody waits: what begins now tells nothing of what engines could take."""
+    def mark_empty(self) -> None:
+        """Record that the queue is empty, and discard the starts seen so far."""
         self._busy_since = None
-        self._begun.clear()
+        self._starts.clear()
 
-    def begun(self, now: float) -> None:
-        """Note a start."""
-        self._begun.append(now)
+    def record_start(self, now: float) -> None:
+        """Record that an engine was given a prompt."""
+        self._starts.append(now)
 
     def idle_s(self, now: float) -> float:
-        """Give how long somebody has waited and nobody was begun."""
+        """Return the seconds for which prompts have waited without a start."""
         if self._busy_since is None:
             return 0.0
-        last = self._begun[-1] if self._begun else self._busy_since
+        last = self._starts[-1] if self._starts else self._busy_since
         return now - max(last, self._busy_since)
 
-    def per_s(self, now: float, *, most: float) -> float:
-        """Give the rate to count on; ``most`` is what the engines that are left can read."""
+    def starts_per_s(self, now: float, *, max_per_s: float) -> float:
+        """Return the expected start rate; ``max_per_s`` is the prefill rate of the engines left.
+
+        Without a measurement the engines' prefill rate is used.
+        """
         since = self._busy_since
-        if since is None or now - since < LEAST_BUSY_S:
-            return max(LEAST_PER_S, most)
+        if since is None or now - since < MIN_BUSY_S:
+            return max(MIN_STARTS_PER_S, max_per_s)
         window_s = min(RATE_WINDOW_S, now - since)
-        while self._begun and now - self._begun[0] > window_s:
-            self._begun.popleft()
-        return max(LEAST_PER_S, min(most, len(self._begun) / window_s))
+        while self._starts and now - self._starts[0] > window_s:
+            self._starts.popleft()
+        return max(MIN_STARTS_PER_S, min(max_per_s, len(self._starts) / window_s))
 
 
 @attrs.define(kw_only=True)
 class PromptQueue:
-    """The prompts that wait for room at one service's engines."""
+    """Prompts that wait for capacity at the engines of one service."""
 
     _waiting: dict[QueuedPromptId, QueuedPrompt] = attrs.field(factory=dict)
-    _rate: LineRate = attrs.field(factory=LineRate)
+    _rate: StartRate = attrs.field(factory=StartRate)
     _ahead: dict[QueuedPromptId, int] = attrs.field(factory=dict)
-    _passed: int = 0
-    """Places given past those who wait behind a more urgent kind, one after the other."""
+    """Number of prompts ahead of each, as of the last call of ``order``."""
+    _urgent_starts: int = 0
+    """Consecutive starts of prompts while others waited behind a more urgent class."""
 
     def __len__(self) -> int:
         return len(self._waiting)
 
-    def __contains__(self, place: QueuedPromptId) -> bool:
-        return place in self._waiting
+    def __contains__(self, prompt_id: QueuedPromptId) -> bool:
+        return prompt_id in self._waiting
 
     @property
     def waiting(self) -> tuple[QueuedPrompt, ...]:
-        """Who waits, in no order."""
+        """The queued prompts, in no particular order."""
         return tuple(self._waiting.values())
 
-    def enqueue_or_renew(self, asked: QueuedPrompt) -> bool:
-        """Take a prompt into the line, or note that its VM still wants it; tells if it is new.
+    def enqueue_or_renew(self, prompt: QueuedPrompt) -> bool:
+        """Add a prompt to the queue, or renew one that is queued; return whether it is new.
 
-        The first figures of its times stay: those of a later message may have been under way.
+        A renewal keeps the times of the first request, as a later message may have been delayed.
         """
-        known = self._waiting.get(asked.prompt_id)
+        known = self._waiting.get(prompt.prompt_id)
         if known is not None:
-            known.renewed_at = asked.renewed_at
+            known.renewed_at = prompt.renewed_at
             return False
-        self._waiting[asked.prompt_id] = asked
-        self._rate.busy(asked.renewed_at)
+        self._waiting[prompt.prompt_id] = prompt
+        self._rate.mark_busy(prompt.renewed_at)
         return True
 
-    def remove(self, place: QueuedPromptId) -> None:
-        """Take out a prompt that is wanted no more."""
-        self._waiting.pop(place, None)
+    def remove(self, prompt_id: QueuedPromptId) -> None:
+        """Remove a prompt, if it is queued."""
+        self._waiting.pop(prompt_id, None)
         if not self._waiting:
-            self._rate.empty()
+            self._rate.mark_empty()
 
     def expire(self, now: float) -> tuple[QueuedPrompt, ...]:
-        """Take out, and give, those whose VM was not heard of late."""
+        """Remove and return the prompts whose VM has not renewed them in time."""
         silent = tuple(w for w in self._waiting.values() if now - w.renewed_at > RENEWAL_TIMEOUT_S)
-        for waiting in silent:
-            self.remove(waiting.prompt_id)
+        for prompt in silent:
+            self.remove(prompt.prompt_id)
         return silent
 
     def unfinishable(self, now: float) -> tuple[QueuedPrompt, ...]:
-        """Give those that could not end in their callers' time any more."""
+        """Return the prompts whose answers can no longer end before their callers' deadlines."""
         return tuple(w for w in self._waiting.values() if now > w.request.end_by)
 
-    def order(self, now: float, *, most_per_s: float) -> list[QueuedPrompt]:
-        """Give all who wait, the next one first; ``most_per_s`` is what engines can read."""
+    def order(self, now: float, *, max_per_s: float) -> list[QueuedPrompt]:
+        """Return all queued prompts, the next one first.
+
+        ``max_per_s`` is the number of prompts per second that the engines can prefill.
+        """
         in_time = [
             w for w in self._waiting.values() if w.priority_class(now) is PriorityClass.IN_TIME
         ]
-        in_time.sort(key=lambda w: (w.request.start_by, w.request.rank, w.ask.request))
-        if not self._reaches_all(in_time, now, most_per_s):
+        in_time.sort(key=lambda w: (w.request.start_by, w.request.rank, w.request.request_id))
+        if not self._can_start_all_in_time(in_time, now, max_per_s):
             in_time.sort(key=lambda w: w.request.rank)
         others = [
             w for w in self._waiting.values() if w.priority_class(now) is not PriorityClass.IN_TIME
         ]
         others.sort(
-            key=lambda w: (w.priority_class(now), w.request.rank, w.request.arrived, w.ask.request)
+            key=lambda w: (
+                w.priority_class(now),
+                w.request.rank,
+                w.request.arrived_at,
+                w.request.request_id,
+            )
         )
         ordered = in_time + others
-        behind = self._behind(now) if self._passed >= OTHERS_FIRST else []
-        if behind:
-            oldest = min(behind, key=lambda w: (w.request.arrived_at, w.request.request))
+        starved = (
+            self._behind_urgent(now) if self._urgent_starts >= MAX_CONSECUTIVE_URGENT_STARTS else []
+        )
+        if starved:
+            oldest = min(starved, key=lambda w: (w.request.arrived_at, w.request.request_id))
             ordered.remove(oldest)
             ordered.insert(0, oldest)
         self._ahead = {w.prompt_id: number for number, w in enumerate(ordered)}
         return ordered
 
-    def record_start(self, place: QueuedPromptId, now: float) -> None:
-        """Note that a prompt has got a place, and take it out."""
-        behind = self._behind(now)
-        passes = bool(behind) and all(w.prompt_id != place for w in behind)
-        self._passed = self._passed + 1 if passes else 0
-        self._rate.begun(now)
-        self.remove(place)
+    def record_start(self, prompt_id: QueuedPromptId, now: float) -> None:
+        """Record that a prompt was given to an engine, and remove it from the queue."""
+        behind = self._behind_urgent(now)
+        is_urgent = bool(behind) and all(w.prompt_id != prompt_id for w in behind)
+        self._urgent_starts = self._urgent_starts + 1 if is_urgent else 0
+        self._rate.record_start(now)
+        self.remove(prompt_id)
 
-    def is_stalled(self, now: float, *, most_per_s: float) -> bool:
-        """Tell whether somebody has waited for long and nobody was begun."""
-        longest_s = max(STALLED_S, STALLED_READINGS / max(most_per_s, LEAST_PER_S))
-        return self._rate.idle_s(now) >= longest_s
+    def is_stalled(self, now: float, *, max_per_s: float) -> bool:
+        """Check whether prompts have waited for the stall timeout without a start."""
+        timeout_s = max(STALL_TIMEOUT_S, STALL_TIMEOUT_PREFILLS / max(max_per_s, MIN_STARTS_PER_S))
+        return self._rate.idle_s(now) >= timeout_s
 
     def rejection(
-        self, place: QueuedPromptId, now: float, *, most_per_s: float
+        self, prompt_id: QueuedPromptId, now: float, *, max_per_s: float
     ) -> RejectedWithRetryAfter | None:
-        """Give why the line can't reach a prompt in its time, and when there will be room.
+        """Return a rejection if the prompt can't start in time, with the time to retry after.
 
-        Who is late in any case waits as long as an answer can still be made.
+        A prompt that has already missed its objective, or is interrupted, may wait for as long
+        as its answer can still end before the caller's deadline.
         """
-        waiting = self._waiting[place]
-        ordered = self.order(now, most_per_s=most_per_s)
-        per_s = self._rate.per_s(now, most=most_per_s)
-        ahead = ordered.index(waiting)
-        in_time = waiting.priority_class(now) is PriorityClass.IN_TIME
-        start_by = waiting.request.start_by if in_time else waiting.request.end_by
-        if now + SURELY * ahead / per_s <= start_by:
+        prompt = self._waiting[prompt_id]
+        ordered = self.order(now, max_per_s=max_per_s)
+        per_s = self._rate.starts_per_s(now, max_per_s=max_per_s)
+        ahead = ordered.index(prompt)
+        in_time = prompt.priority_class(now) is PriorityClass.IN_TIME
+        start_by = prompt.request.start_by if in_time else prompt.request.end_by
+        if now + WAIT_DISCOUNT * ahead / per_s <= start_by:
             return None
-        longest_s = max(MIN_RETRY_AFTER_S, MOST_RETURN_PART * (waiting.request.end_by - now))
+        max_retry_after_s = max(
+            MIN_RETRY_AFTER_S, MAX_RETRY_AFTER_SHARE * (prompt.request.end_by - now)
+        )
         return RejectedWithRetryAfter(
             detail=f"{ahead} prompts go first, and engines begin {per_s:.1f} a second",
-            retry_after_s=min(longest_s, max(MIN_RETRY_AFTER_S, len(ordered) / per_s)),
+            retry_after_s=min(max_retry_after_s, max(MIN_RETRY_AFTER_S, len(ordered) / per_s)),
         )
 
-    def count_ahead(self, place: QueuedPromptId) -> int:
-        """Count those who went before a prompt when the order was last worked out."""
-        return self._ahead.get(place, 0)
+    def count_ahead(self, prompt_id: QueuedPromptId) -> int:
+        """Return how many prompts were ahead when the order was last computed; 0 if not known."""
+        return self._ahead.get(prompt_id, 0)
 
-    def _reaches_all(self, ordered: list[QueuedPrompt], now: float, most_per_s: float) -> bool:
-        per_s = self._rate.per_s(now, most=most_per_s)
+    def _can_start_all_in_time(
+        self, ordered: list[QueuedPrompt], now: float, max_per_s: float
+    ) -> bool:
+        per_s = self._rate.starts_per_s(now, max_per_s=max_per_s)
         return all(now + n / per_s <= w.request.start_by for n, w in enumerate(ordered))
 
-    def _behind(self, now: float) -> list[QueuedPrompt]:
-        """Give those who wait behind a more urgent kind, but those who are late."""
-        kinds = {
+    def _behind_urgent(self, now: float) -> list[QueuedPrompt]:
+        """Return the prompts of other than the most urgent class and rank; late ones excluded."""
+        classes = {
             w.prompt_id: (w.priority_class(now), w.request.rank) for w in self._waiting.values()
         }
-        if not kinds:
+        if not classes:
             return []
-        first = min(kinds.values())
+        first = min(classes.values())
         return [
             w
             for w in self._waiting.values()
-            if kinds[w.prompt_id] > first and kinds[w.prompt_id][0] is not PriorityClass.LATE
+            if classes[w.prompt_id] > first and classes[w.prompt_id][0] is not PriorityClass.LATE
         ]
 
 
-def max_prefills_per_s(engines: int, reading_s: float) -> float:
-    """Give the prompts a second that so many engines can read."""
-    return engines / reading_s if reading_s > 0 else math.inf
+def max_prefills_per_s(engines: int, prefill_s: float) -> float:
+    """Return the prompts per second that ``engines`` can prefill at ``prefill_s`` seconds each."""
+    return engines / prefill_s if prefill_s > 0 else math.inf
--- a/lagoonlever/decisions/admission/queues.py
+++ b/lagoonlever/decisions/admission/queues.py
@@ -1,4 +1,4 @@
-"""Bounded queues, one a leaf: first come first served, with the time by which each must start."""
+"""Bounded queues, one per leaf of the share tree: first come first served, each with a deadline."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 RATE_WINDOW_S = 5.0
 """Time constant of the measured rate at which a leaf's requests leave its queue."""
 MIN_BUSY_S = 1.0
-"""A queue that was busy for less than this has no known rate."""
+"""The rate of a queue that was non-empty for less than this is not known."""
 
 
 @attrs.frozen(kw_only=True)
 class QueuedRequest:
-    """One queued request; it must start by ``give_up_at`` (monotonic seconds)."""
+    """Request in a queue; it must start by ``give_up_at`` (monotonic seconds)."""
 
     ticket: int
     queued_at: float
@@ -25,13 +25,15 @@
 
 @attrs.define(kw_only=True)
 class LeafQueue:
-    """The requests of one leaf that wait at this VM, and how fast they leave."""
+    """Requests of one leaf that wait at this VM, and the rate at which they start."""
 
     entitled_rate: float | None = None
-    """Starts a second by the leaf's share and how long its requests run; None if not known."""
+    """Starts per second by the leaf's share and its requests' running time; None if not known."""
     _waiting: deque[QueuedRequest] = attrs.field(factory=deque)
     _starts: float = 0.0
+    """Number of starts, decayed over time."""
     _busy_s: float = 0.0
+    """Seconds in which requests waited, decayed in the same way."""
     _measured_at: float | None = None
 
     @property
@@ -43,7 +45,10 @@
         return len(self._waiting)
 
     def expected_wait_s(self, position: int, now: float) -> float:
-        """Estimate seconds until the request at a position (from 0) starts; 0 if not known."""
+        """Estimate the seconds until the request at a position (from 0) starts; 0 if not known.
+
+        The rate is the larger one of the measured rate and of the leaf's entitled rate.
+        """
         if self.entitled_rate is None:
             return 0.0
         self._measure(now)
@@ -51,40 +56,44 @@
         rate = max(measured, self.entitled_rate)
         return (position + 1) / rate if rate > 0 else math.inf
 
-    def push(self, waiting: QueuedRequest) -> None:
-        """Add a request behind the others."""
-        self._measure(waiting.queued_at)
-        self._waiting.append(waiting)
+    def push(self, request: QueuedRequest) -> None:
+        """Add a request at the end of the queue."""
+        self._measure(request.queued_at)
+        self._waiting.append(request)
 
     def start_next(self, now: float) -> QueuedRequest:
-        """Take out the oldest request because it starts, and learn the rate from that."""
+        """Remove and return the oldest request, which starts now, and count the start."""
         self._measure(now)
         self._starts += 1.0
         return self._waiting.popleft()
 
     def remove(self, ticket: int) -> bool:
-        """Take out a request that its caller gave up; false if it is not here."""
-        for waiting in self._waiting:
-            if waiting.ticket == ticket:
-                self._waiting.remove(waiting)
+        """Remove a request whose caller gave up; return False if it is not queued."""
+        for request in self._waiting:
+            if request.ticket == ticket:
+                self._waiting.remove(request)
                 return True
         return False
 
     def remove_unservable(self, now: float, *, patience: float) -> list[QueuedRequest]:
-        """Take out what is past its time, or whose expected wait is ``patience`` times its time."""
+        """Remove and return the requests that can't start in time.
+
+        These are past their deadline, or have an expected wait of more than ``patience`` times
+        the time that is left.
+        """
         removed: list[QueuedRequest] = []
         kept: deque[QueuedRequest] = deque()
-        for waiting in self._waiting:
-            left_s = waiting.give_up_at - now
-            hopeless = left_s <= 0 or self.expected_wait_s(len(kept), now) > patience * left_s
-            (removed if hopeless else kept).append(waiting)
+        for request in self._waiting:
+            left_s = request.give_up_at - now
+            unservable = left_s <= 0 or self.expected_wait_s(len(kept), now) > patience * left_s
+            (removed if unservable else kept).append(request)
         self._waiting = kept
         return removed
 
     def _measure(self, now: float) -> None:
-        # Starts and the time in which something waited fade alike, so their ratio stays a rate.
+        # Starts and busy time decay by the same factor, so that their ratio stays a rate.
         elapsed_s = 0.0 if self._measured_at is None else max(0.0, now - self._measured_at)
         self._measured_at = now if self._measured_at is None else max(now, self._measured_at)
-        fade = math.exp(-elapsed_s / RATE_WINDOW_S)
-        self._starts *= fade
-        self._busy_s = self._busy_s * fade + (elapsed_s if self._waiting else 0.0)
+        decay = math.exp(-elapsed_s / RATE_WINDOW_S)
+        self._starts *= decay
+        self._busy_s = self._busy_s * decay + (elapsed_s if self._waiting else 0.0)
--- a/lagoonlever/decisions/admission/retry_window.py
+++ b/lagoonlever/decisions/admission/retry_window.py
@@ -1,12 +1,12 @@
-"""How many attempts beyond the first this VM may send to a service.
+"""Limit of the retries that this VM may send to a service, relative to its requests.
 
-The load that is answered: a service fails many requests at once, every VM sends each
-of them again, and the repeats bury the targets that are left. All VMs together may
-send a part of the requests of a window again, and a little more.
+Problem: a service fails many requests at once, every VM retries each of them, and the retries
+overload the targets that are left. All VMs together may retry a fixed ratio of the requests of a
+sliding window, and a constant number (the slack) beyond it.
 
-Of calls a VM does not know what the others send, so it keeps to that part of its own
-requests, and to its share of the rest. Runs at engines are told to all VMs, so there each
-VM counts those of the whole fleet.
+For calls, a VM does not know what the others send, so it is held to that ratio of its own requests
+and to its share of the slack. Runs at engines are announced to all VMs, so for these each VM
+counts the retries of the whole fleet.
 """
 
 from __future__ import annotations
@@ -16,52 +16,52 @@
 import attrs
 
 SAFETY = 0.8
-"""Of the allowed ratio: windows of the VM and of the whole don't begin together."""
+"""Factor on the allowed retries: the window of a VM and that of the fleet don't start together."""
 
 
 @attrs.define(kw_only=True)
 class RetryWindow:
-    """Counts requests and repeats of one service over a sliding window, in seconds."""
+    """Counts of requests and retries of one service over a sliding window, in seconds."""
 
     _ratio: float
     _window_s: float
     _slack: float
     _requests: deque[float] = attrs.field(factory=deque)
-    _repeats: deque[float] = attrs.field(factory=deque)
+    _retries: deque[float] = attrs.field(factory=deque)
 
     def record_request(self, now: float) -> None:
         """Count a request of a caller."""
         self._requests.append(now)
-        self._forget(now)
+        self._expire(now)
 
     def record_retry(self, now: float) -> None:
-        """Count a repeat, of this VM or of another one."""
-        self._repeats.append(now)
-        self._forget(now)
+        """Count a retry of this VM or of another one."""
+        self._retries.append(now)
+        self._expire(now)
 
     def cancel_retry(self, at: float) -> None:
-        """Count a repeat no more that was counted at a time, and reached nobody."""
-        if at in self._repeats:
-            self._repeats.remove(at)
+        """Remove a retry that was counted at this time and did not reach any target."""
+        if at in self._retries:
+            self._retries.remove(at)
 
-    def allows(self, now: float, *, vms: int, part: float = 1.0) -> bool:
-        """Tell whether there may be one more repeat.
+    def allows(self, now: float, *, vms: int, share: float = 1.0) -> bool:
+        """Check whether one more retry is allowed.
 
-        ``vms`` share the slack. A repeat that is only of advantage asks for a ``part`` of
-        what is allowed, so that it leaves the rest to those that are needed.
+        The slack is divided among ``vms``. A retry that is useful but not necessary passes a
+        ``share`` below 1 of the allowed number, which leaves the rest to necessary ones.
         """
-        self._forget(now)
+        self._expire(now)
         allowed = SAFETY * (self._ratio * len(self._requests) + self._slack / max(1, vms))
-        return len(self._repeats) + 1 <= part * allowed
+        return len(self._retries) + 1 <= share * allowed
 
     def try_record_retry(self, now: float, *, vms: int) -> bool:
-        """Count one repeat if the window allows it."""
+        """Count one retry if the window allows it, and return whether it does."""
         if not self.allows(now, vms=vms):
             return False
         self.record_retry(now)
         return True
 
-    def _forget(self, now: float) -> None:
-        for times in (self._requests, self._repeats):
+    def _expire(self, now: float) -> None:
+        for times in (self._requests, self._retries):
             while times and now - times[0] > self._window_s:
                 times.popleft()
--- a/lagoonlever/decisions/admission/runner_slots.py
+++ b/lagoonlever/decisions/admission/runner_slots.py
@@ -1,6 +1,8 @@
-"""One runner as the line of its service sees it: places given out, its own word, its failures.
+"""State of one runner as a call queue sees it: granted slots, reported load, failures.
 
-The load that is answered: machines that are shared, and slow for moments of half a second.
+Problem: runners share machines with other work, and a machine can be slow for about half a second
+at a time. So the slots that a queue has granted are combined with the runner's own load reports,
+whose weight fades within a fraction of a second.
 """
 
 from __future__ import annotations
@@ -9,169 +11,185 @@
 
 from lagoonlever.decisions.admission.runners import (
     FAILURE_WEIGHT,
-    FIRST_AVOID_S,
-    MOST_AVOID_S,
+    INITIAL_AVOID_S,
+    MAX_AVOID_S,
     STALLED_AFTER_LOSSES,
 )
 from lagoonlever.decisions.targets.told_load import USUAL, ToldLoad
 
-SLOTS_UNTOLD = 2.0
-"""Of a runner that has not said how many it has."""
-WORD_FADES_S = 0.6
-"""How long a word of a machine's pace says anything of it."""
-OTHERS_FADE_S = 0.3
-"""The same of a word of calls that this line gave no place for."""
-PLACE_KEPT_S = 3.0
-"""The longest that a place is held without its end being heard."""
-LEAST_OVERDUE_S = 0.25
-OVERDUE_WORKS = 4.0
-"""Times the usual work after which a place without an end is overdue."""
-LATE_WORKS = 2.0
-"""The same, after which it is likely that the machine has turned slow."""
-SAME_WORDS = 5
-"""Equal counts in a row, while the places changed, that show a count that is stuck."""
+DEFAULT_SLOTS = 2.0
+"""Slots of a runner that has not reported how many it has."""
+SLOWDOWN_FADE_S = 0.6
+"""The slowdown in a load report fades to the usual speed within this time."""
+OTHER_CALLS_FADE_S = 0.3
+"""The count of calls for which this queue granted no slot fades to zero within this time."""
+MAX_SLOT_HELD_S = 3.0
+"""A slot is released after this time at the latest, even if no end of its call was reported."""
+MIN_OVERDUE_S = 0.25
+OVERDUE_WORK_FACTOR = 4.0
+"""A call is overdue after this many times the usual work time, as slowed down on the runner."""
+LATE_WORK_FACTOR = 2.0
+"""After this many times the usual work time the machine has probably become slow."""
+STUCK_REPORT_COUNT = 5
+"""A call count is stuck if this many reports in a row repeat it while the granted slots change."""
 
 
 @attrs.frozen(kw_only=True)
-class Place:
-    """A slot that was given to one attempt of a call; times of the monotonic clock."""
+class GrantedSlot:
+    """Slot that was granted to one attempt of a call; times are monotonic seconds."""
 
-    request: str
-    given_at: float
-    until: float
+    request_id: str
+    granted_at: float
+    expires_at: float
 
 
 @attrs.define(kw_only=True)
 class RunnerSlots:
-    """State of one process of a runner; counts are calls."""
+    """Slots and health of one process of a runner; counts are calls."""
 
     name: str
     data_center: str = ""
-    places: dict[str, Place] = attrs.field(factory=dict)
+    granted: dict[str, GrantedSlot] = attrs.field(factory=dict)
+    """Slots in use, by the id of the attempt."""
     failure_rate: float = 0.0
-    """Of late: lost answers, and failures of the runner's own."""
+    """Moving average of lost answers and of failures of the runner itself, from 0 to 1."""
     _load: ToldLoad | None = None
-    _told_at: float = float("-inf")
-    _others: float = 0.0
-    """Calls beyond the places, by the runner's last word."""
-    _same: int = 0
-    _places_then: set[int] = attrs.field(factory=set)
-    """The numbers of places at which the same count was told."""
-    _heard_at: float = float("-inf")
+    _reported_at: float = float("-inf")
+    _other_calls: float = 0.0
+    """Calls beyond the granted slots, by the runner's last load report."""
+    _same_count_reports: int = 0
+    """Consecutive load reports that repeated the former call count."""
+    _granted_at_same_count: set[int] = attrs.field(factory=set)
+    """The numbers of granted slots at which the repeated call count was reported."""
+    _last_sign_of_life: float = float("-inf")
     _losses: int = 0
-    _avoid_s: float = FIRST_AVOID_S
+    _avoid_s: float = INITIAL_AVOID_S
     _avoid_until: float = float("-inf")
 
     @property
     def slots(self) -> float:
-        """The calls that it works on at once."""
-        return max(1.0, self._load.slots) if self._load is not None else SLOTS_UNTOLD
+        """The number of calls that the runner works on at once."""
+        return max(1.0, self._load.slots) if self._load is not None else DEFAULT_SLOTS
 
     @property
     def stalled(self) -> bool:
-        """Whether it has let several calls wait and answered none since."""
+        """Whether the runner has lost several calls and answered none since."""
         return self._losses >= STALLED_AFTER_LOSSES
 
-    def age_s(self, now: float) -> float:
-        """Give the seconds since its last word."""
-        return now - self._told_at
+    def report_age_s(self, now: float) -> float:
+        """Return the seconds since the runner's last load report."""
+        return now - self._reported_at
 
-    def slowness(self, now: float) -> float:
-        """Give how many times as long as usual work takes there, as far as its word still says."""
+    def slowdown(self, now: float) -> float:
+        """Return the slowdown factor of the runner's machine; 1.0 is the usual speed.
+
+        A reported slowdown fades, as machines are slow for moments only.
+        """
         if self._load is None or self._load.slowness is None:
             return USUAL
-        rest = max(0.0, 1.0 - self.age_s(now) / WORD_FADES_S)
-        return USUAL + (self._load.slowness - USUAL) * rest
+        weight = max(0.0, 1.0 - self.report_age_s(now) / SLOWDOWN_FADE_S)
+        return USUAL + (self._load.slowness - USUAL) * weight
 
-    def busy(self, now: float) -> float:
-        """Give the calls that are there or on their way."""
-        rest = max(0.0, 1.0 - self.age_s(now) / OTHERS_FADE_S)
-        return len(self.places) + self._others * rest
+    def busy_slots(self, now: float) -> float:
+        """Return the number of calls that are at the runner or on their way to it."""
+        weight = max(0.0, 1.0 - self.report_age_s(now) / OTHER_CALLS_FADE_S)
+        return len(self.granted) + self._other_calls * weight
 
-    def free(self, now: float) -> float:
-        """Give the slots that are free."""
-        return self.slots - self.busy(now)
+    def free_slots(self, now: float) -> float:
+        """Return the number of free slots; negative if calls queue at the runner."""
+        return self.slots - self.busy_slots(now)
 
     def is_silent(self, now: float, *, work_s: float) -> bool:
-        """Tell whether places are overdue and nothing was heard since they were."""
-        overdue_s = max(LEAST_OVERDUE_S, OVERDUE_WORKS * work_s * self.slowness(now))
+        """Check whether calls are overdue and nothing was received from the runner meanwhile."""
+        overdue_s = max(MIN_OVERDUE_S, OVERDUE_WORK_FACTOR * work_s * self.slowdown(now))
         return self._silence_s(now) > overdue_s
 
     def is_late(self, now: float, *, work_s: float) -> bool:
-        """Tell whether an end is due by the pace that was told, and nothing was heard."""
-        return self._silence_s(now) > LATE_WORKS * work_s * self.slowness(now)
+        """Check whether an answer is due at the reported speed and nothing was received."""
+        return self._silence_s(now) > LATE_WORK_FACTOR * work_s * self.slowdown(now)
 
-    def takes(self, now: float, *, work_s: float, queued: int = 0) -> bool:
-        """Tell whether a place may be given out, with so many beyond the slots.
+    def can_grant(self, now: float, *, work_s: float, queued: int = 0) -> bool:
+        """Check whether a slot may be granted, with up to ``queued`` calls beyond the slots.
 
-        A runner that stalled is probed by one call.
+        A stalled runner is probed by one call at a time.
         """
         if self.stalled:
-            return now >= self._avoid_until and not self.places
-        return self.free(now) + queued >= 1.0 and not self.is_silent(now, work_s=work_s)
+            return now >= self._avoid_until and not self.granted
+        return self.free_slots(now) + queued >= 1.0 and not self.is_silent(now, work_s=work_s)
+
+    def grant(self, slot: GrantedSlot) -> None:
+        """Record a granted slot."""
+        self.granted[slot.request_id] = slot
 
-    def give(self, place: Place) -> None:
-        """Note a place."""
-        self.places[place.request] = place
+    def release(self, request_id: str) -> GrantedSlot | None:
+        """Release and return a slot; None if it is not held any more."""
+        return self.granted.pop(request_id, None)
 
-    def release(self, request: str) -> Place | None:
-        """Drop a place; gives it, or None where it is gone already."""
-        return self.places.pop(request, None)
+    def record_load(self, load: ToldLoad, now: float, *, work_s: float) -> None:
+        """Record the runner's load report, which came with the end of a call already released.
 
-    def told(self, load: ToldLoad, now: float, *, work_s: float) -> None:
-        """Take the runner's own word, which came with the end of a call that is released."""
+        A count that stays the same while the granted slots change is stuck and says nothing
+        about calls of others.
+        """
         count = load.running + load.waiting
         former = self._load
         same = former is not None and former.running + former.waiting == count
-        self._same = self._same + 1 if same else 0
-        self._places_then = {*self._places_then, len(self.places)} if same else {len(self.places)}
-        self._load, self._told_at, self._heard_at = load, now, now
-        stuck = self._same >= SAME_WORDS and len(self._places_then) > 1
-        self._others = 0.0 if stuck else max(0.0, count - len(self.places) - 1)
-        self._drop_lost(count, now, work_s)
-
-    def answered(self, now: float) -> None:
-        """Note an answer: it is well."""
-        self._heard_at = now
-        self._losses, self._avoid_s, self._avoid_until = 0, FIRST_AVOID_S, float("-inf")
-        self._note(failed=False)
-
-    def failed(self, now: float) -> None:
-        """Note an answer that tells of its own failure: it is there, and not well."""
-        self._heard_at = now
+        self._same_count_reports = self._same_count_reports + 1 if same else 0
+        self._granted_at_same_count = (
+            {*self._granted_at_same_count, len(self.granted)} if same else {len(self.granted)}
+        )
+        self._load, self._reported_at, self._last_sign_of_life = load, now, now
+        stuck = (
+            self._same_count_reports >= STUCK_REPORT_COUNT and len(self._granted_at_same_count) > 1
+        )
+        self._other_calls = 0.0 if stuck else max(0.0, count - len(self.granted) - 1)
+        self._release_lost(count, now, work_s)
+
+    def record_answer(self, now: float) -> None:
+        """Record an answer, after which the runner counts as healthy."""
+        self._last_sign_of_life = now
+        self._losses, self._avoid_s, self._avoid_until = 0, INITIAL_AVOID_S, float("-inf")
+        self._record_outcome(failed=False)
+
+    def record_failure(self, now: float) -> None:
+        """Record an answer that reports the runner's own failure: it is reachable but unhealthy."""
+        self._last_sign_of_life = now
         self._losses = 0
-        self._note(failed=True)
+        self._record_outcome(failed=True)
+
+    def record_loss(self, now: float) -> None:
+        """Record a call that the runner did not accept or did not answer.
 
-    def lost(self, now: float) -> None:
-        """Note a call that it did not take, or whose answer did not come."""
-        self._note(failed=True)
+        A stalled runner is avoided for a time that doubles with each further loss.
+        """
+        self._record_outcome(failed=True)
         self._losses += 1
         if not self.stalled:
             return
         self._avoid_until = now + self._avoid_s
-        self._avoid_s = min(MOST_AVOID_S, 2 * self._avoid_s)
+        self._avoid_s = min(MAX_AVOID_S, 2 * self._avoid_s)
 
-    def expire(self, now: float) -> None:
-        """Drop places whose end must have been lost."""
-        for request in [r for r, place in self.places.items() if now >= place.until]:
-            del self.places[request]
+    def release_expired(self, now: float) -> None:
+        """Release slots whose end was not reported in time; that message must have been lost."""
+        for request_id in [r for r, slot in self.granted.items() if now >= slot.expires_at]:
+            del self.granted[request_id]
 
     def _silence_s(self, now: float) -> float:
-        """Give for how long it has had a call and nothing was heard of it."""
-        if not self.places:
+        """Return the seconds for which the runner has had a call and sent nothing."""
+        if not self.granted:
             return 0.0
-        oldest = min(place.given_at for place in self.places.values())
-        return now - max(oldest, self._heard_at)
+        oldest = min(slot.granted_at for slot in self.granted.values())
+        return now - max(oldest, self._last_sign_of_life)
 
-    def _note(self, *, failed: bool) -> None:
+    def _record_outcome(self, *, failed: bool) -> None:
         self.failure_rate += FAILURE_WEIGHT * (float(failed) - self.failure_rate)
 
-    def _drop_lost(self, count: float, now: float, work_s: float) -> None:
-        """Drop overdue places where the runner has fewer calls than there are places."""
-        overdue_s = max(LEAST_OVERDUE_S, OVERDUE_WORKS * work_s * self.slowness(now))
-        surplus = len(self.places) - int(count)
-        for place in sorted(self.places.values(), key=lambda each: each.given_at):
-            if surplus <= 0 or now - place.given_at < overdue_s:
+    def _release_lost(self, count: float, now: float, work_s: float) -> None:
+        """Release overdue slots, oldest first, while the runner has fewer calls than slots."""
+        overdue_s = max(MIN_OVERDUE_S, OVERDUE_WORK_FACTOR * work_s * self.slowdown(now))
+        surplus = len(self.granted) - int(count)
+        for slot in sorted(self.granted.values(), key=lambda each: each.granted_at):
+            if surplus <= 0 or now - slot.granted_at < overdue_s:
                 return
-            del self.places[place.request]
+            del self.granted[slot.request_id]
             surplus -= 1
--- a/lagoonlever/decisions/streams/run_placement.py
+++ b/lagoonlever/decisions/streams/run_placement.py
@@ -216,13 +216,13 @@
     if making_s is None:
         return None
     most = max_prefill_share(
-        making_s=making_s,
-        reading_s=paces.usual_reading_s(ask.service),
+        decode_s=making_s,
+        prefill_s=paces.usual_reading_s(ask.service),
         allowed_s=ask.allowed_s,
         slowdown=paces.slowdown(ask.service),
     )
     engines = len(view.targets.serving(ask.service))
     load = view.book.reading_load(ask.service, engines=engines, now=now)
-    if admits_prompt(load, most=most):
+    if admits_prompt(load, max_share=most):
         return None
     return Overloaded(share=load.share, most=most)
--- a/lagoonlever/gateway/room_desk.py
+++ b/lagoonlever/gateway/room_desk.py
@@ -178,15 +178,15 @@
         now = self._timers.now
         for silent in line.expire(now):
             self._open.pop(silent.prompt_id, None)
-            events.LINE_LEFT.log(log, request=silent.request_id.request, vm=silent.prompt_id.vm)
+            events.LINE_LEFT.log(log, request=silent.request.request_id, vm=silent.prompt_id.vm)
         for hopeless in line.unfinishable(now):
             if self._open[hopeless.prompt_id].asked.need.refusable:
                 self._turn_away(hopeless.prompt_id, line, _time_over())
         view = self._placer.view(service)
         passed_by = 0
-        for waiting in line.order(now, most_per_s=ready_rate(service, view, now)):
+        for waiting in line.order(now, max_per_s=ready_rate(service, view, now)):
             asked = self._open[waiting.prompt_id].asked
-            if self._beliefs.book.begun_after(waiting.request_id.request, waiting.enqueued_at):
+            if self._beliefs.book.begun_after(waiting.request.request_id, waiting.enqueued_at):
                 self.left(waiting.prompt_id, service)
                 continue
             outcome = self._decide(asked.ask, line)
@@ -203,7 +203,7 @@
         # Chance would only part those who do not know of each other: this VM places them all.
         ask, now = attrs.evolve(ask, crowd=False, allowed_s=None), self._timers.now
         view = self._placer.view(ask.service)
-        if line.is_stalled(now, most_per_s=ready_rate(ask.service, view, now)):
+        if line.is_stalled(now, max_per_s=ready_rate(ask.service, view, now)):
             return place_run(ask, view, now)
         return place_where_ready(ask, view, now)
 
@@ -228,8 +228,8 @@
         ask = question.asked.ask
         if not question.asked.need.refusable:
             return False
-        most_per_s = ready_rate(ask.service, self._placer.view(ask.service), now)
-        refused = line.rejection(place, now, most_per_s=most_per_s)
+        max_per_s = ready_rate(ask.service, self._placer.view(ask.service), now)
+        refused = line.rejection(place, now, max_per_s=max_per_s)
         if refused is None:
             return False
         self._turn_away(place, line, refused)
@@ -291,7 +291,7 @@
             question.told_late = True
             events.LINE_PASSED_BY.log(
                 log,
-                request=waiting.request_id.request,
+                request=waiting.request.request_id,
                 service=service,
                 rank=waiting.request.rank,
                 seconds=round(now - waiting.enqueued_at, 2),
@@ -308,7 +308,7 @@
             return
         events.LINE_BEGUN.log(
             log,
-            request=waiting.request_id.request,
+            request=waiting.request.request_id,
             service=waiting.request.service,
             rank=waiting.request.rank,
             engine=placed.engine,
--- a/lagoonlever/gateway/stream_attempt.py
+++ b/lagoonlever/gateway/stream_attempt.py
@@ -328,7 +328,7 @@
     def _leave_stuck_queue(self, report: EngineReport) -> None:
         """Leave an engine whose queue waits for memory, if another one has room."""
         window = self._tools.budgets.of_runs(self._accepted.service)
-        if not self._may_look_again() or not window.allows(self._now, vms=1, part=MOVES_PART):
+        if not self._may_look_again() or not window.allows(self._now, vms=1, share=MOVES_PART):
             return
         if is_stuck(report, self._plan, self._tools):
             raise _Moved
@@ -445,7 +445,7 @@
         """Leave an engine that other VMs chose at the same moment, if another is better."""
         await trio.sleep(self._tools.beliefs.book.news_s + LOOK_MARGIN_S)
         window = self._tools.budgets.of_runs(self._accepted.service)
-        if not window.allows(self._now, vms=1, part=MOVES_PART):
+        if not window.allows(self._now, vms=1, share=MOVES_PART):
             return
         serving = self._tools.beliefs.targets.serving(self._accepted.service)
         serving = self._tools.words.unlimited(serving)
--- a/lagoonlever/tests/admission_tests.py
+++ b/lagoonlever/tests/admission_tests.py
@@ -1,4 +1,4 @@
-"""Admission at three VMs through floods, lost news, cuts and changes of the settings."""
+"""Tests of admission at three VMs under floods, lost updates, partitions and settings changes."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
     return {path: LIMITS for path in tree.paths if path not in ("/", "/teams")}
 
 
-def ask(path: str, *, deadline_s: float = 100.0, resume: bool = False) -> AdmissionRequest:
+def request(path: str, *, deadline_s: float = 100.0, resume: bool = False) -> AdmissionRequest:
     return AdmissionRequest(
         path=path,
         pool="model",
@@ -63,7 +63,7 @@
 
 
 @attrs.define(kw_only=True)
-class Asked:
+class Submitted:
     ticket: int
     leaf: str
     until: float
@@ -72,13 +72,13 @@
 
 @attrs.define(kw_only=True, eq=False)
 class Vm:
-    """One VM's decision, and what its callers were told."""
+    """Admission of one VM, and the outcomes that its callers received."""
 
     incarnation: Incarnation
     admission: Admission
     cut: bool = False
-    waiting: dict[int, Asked] = attrs.field(factory=dict)
-    running: dict[int, Asked] = attrs.field(factory=dict)
+    waiting: dict[int, Submitted] = attrs.field(factory=dict)
+    running: dict[int, Submitted] = attrs.field(factory=dict)
     ended: set[int] = attrs.field(factory=set)
 
     def submit(self, request: AdmissionRequest, now: float) -> None:
@@ -88,7 +88,7 @@
             assert answer.retry_after_s is not None and answer.retry_after_s > 0
             return
         wait_s = request.deadline_s if request.resume else min(request.deadline_s, MAX_WAIT_S)
-        self.waiting[answer] = Asked(
+        self.waiting[answer] = Submitted(
             ticket=answer, leaf=request.path, until=now + wait_s, resume=request.resume
         )
 
@@ -106,11 +106,11 @@
         del self.running[ticket]
         self.ended.add(ticket)
         assert self.admission.release(ticket, now)
-        assert not self.admission.release(ticket, now), "a slot was given back twice"
+        assert not self.admission.release(ticket, now), "a slot was released twice"
 
 
 class AdmissionMachine(RuleBasedStateMachine):
-    """Three VMs before six slots; every ticket is decided once, bounds hold throughout."""
+    """Three VMs that share six slots; each ticket is decided once, and bounds hold throughout."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -137,7 +137,7 @@
     def submit(self, number: int, leaf: str, count: int, deadline_s: float, resume: bool) -> None:
         vm = self.vms[number]
         for _ in range(count):
-            vm.submit(ask(leaf, deadline_s=deadline_s, resume=resume), self.now)
+            vm.submit(request(leaf, deadline_s=deadline_s, resume=resume), self.now)
         vm.poll(self.now)
 
     @rule(number=st.integers(0, VMS - 1), pick=st.integers(0, 50))
@@ -168,7 +168,7 @@
 
     @rule(large=st.sampled_from([0.5, 4.0, 16.0]), teams=st.booleans())
     def change_settings(self, large: float, teams: bool) -> None:
-        """Weights change, and two teams vanish or come back with requests waiting and running."""
+        """Change weights, and remove or restore two leaves with requests waiting and running."""
         self.teams = teams
         tree = tree_of(large=large, teams=teams)
         for vm in self.vms:
@@ -176,7 +176,7 @@
             vm.poll(self.now)
 
     @invariant()
-    def each_request_is_in_one_place(self) -> None:
+    def each_request_is_counted_once(self) -> None:
         for vm in self.vms:
             assert vm.admission.waiting_count == len(vm.waiting)
             assert vm.admission.running_count == len(vm.running)
@@ -194,7 +194,7 @@
                 assert len(running) <= MAX_RUNNING
 
     @invariant()
-    def nobody_is_kept_past_its_time(self) -> None:
+    def no_request_waits_past_its_deadline(self) -> None:
         for vm in self.vms:
             for asked in vm.waiting.values():
                 assert asked.until > self.now - 2 * STEP_S
@@ -204,15 +204,15 @@
             self.now += min(STEP_S, seconds)
             for vm in self.vms:
                 vm.poll(self.now)
-                news = vm.admission.due_update(self.now)
-                if news is None or vm.cut or (lose and step % 4 < lose):
+                update = vm.admission.due_update(self.now)
+                if update is None or vm.cut or (lose and step % 4 < lose):
                     continue
                 for other in self.vms:
                     if other is not vm and not other.cut:
-                        other.admission.receive(vm.incarnation, news, self.now)
+                        other.admission.receive(vm.incarnation, update, self.now)
 
     def teardown(self) -> None:
-        """No slot stays idle while something may run, and everything ends."""
+        """Check that no slot stays idle while a request may run, and that all requests end."""
         for vm in self.vms:
             vm.cut = False
         self.run_for(12.0)
@@ -232,17 +232,17 @@
         assert not any(vm.waiting for vm in self.vms)
 
 
-def test_admission_keeps_bounds_and_loses_nobody() -> None:
+def test_admission_keeps_bounds_and_loses_no_request() -> None:
     run_state_machine_as_test(
         AdmissionMachine, settings=settings(max_examples=150, stateful_step_count=30)
     )
 
 
-def test_a_withdrawal_that_keeps_its_count_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Callers hang up while they wait, and the pool seems busy for ever after.
+def test_a_withdrawal_that_leaves_its_count_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against a pool that seems busy for good after waiting callers disconnect.
 
-    Order: a request waits, its caller goes, the queue forgets it but its leaf's
-    count does not. Peers go on leaving slots for demand that is gone.
+    A request waits, its caller leaves, and it is removed from the queue but not from its leaf's
+    count. Peers then keep slots free for demand that is gone.
     """
     forget = Admission.withdraw
 
@@ -255,7 +255,7 @@
 
     monkeypatch.setattr(Admission, "withdraw", keep_count)
     with pytest.raises((AssertionError, IndexError)):
-        # Any one history that shows it will do; the shortest is not looked for.
+        # Any failing history is enough, so that shrinking is skipped.
         search = settings(max_examples=200, stateful_step_count=30, phases=[Phase.generate])
         run_state_machine_as_test(AdmissionMachine, settings=search)
 
@@ -267,44 +267,44 @@
     return admission
 
 
-def test_a_full_queue_is_told_at_once_with_a_jittered_time() -> None:
+def test_a_full_queue_refuses_at_once_with_jittered_retry_times() -> None:
     admission = one_vm()
-    answers = [admission.submit(ask("/large"), 0.0) for _ in range(30)]
+    answers = [admission.submit(request("/large"), 0.0) for _ in range(30)]
     admission.poll(0.0)
     refused = [answer for answer in answers if isinstance(answer, NotRun)]
     assert len(refused) == 30 - QUEUE_BOUND
     assert len({answer.retry_after_s for answer in refused}) > 5
 
 
-def test_a_leaf_back_from_idle_is_not_taken_for_a_stuck_queue() -> None:
-    """A clerk's second lookup of the day is told "overloaded" on an idle queue.
+def test_a_leaf_that_was_idle_is_not_refused() -> None:
+    """Guards against an "overloaded" answer to a request whose leaf has an empty queue.
 
-    Order: a lookup runs and ends, so its duration is known; others flood; the next
-    lookup comes while its leaf has no demand, hence no slots, hence a rate of 0.
+    A request runs and ends, so that its duration is known, and another leaf floods the pool. The
+    next request arrives while its leaf has no demand, hence no slots, hence a rate of 0.
     """
     admission = one_vm()
-    first = admission.submit(ask("/small"), 0.0)
+    first = admission.submit(request("/small"), 0.0)
     admission.poll(0.0)
     assert isinstance(first, int)
     admission.release(first, 4.0)
     for _ in range(3):
-        admission.submit(ask("/large"), 4.0)
+        admission.submit(request("/large"), 4.0)
     admission.poll(4.0)
-    assert isinstance(admission.submit(ask("/small"), 5.0), int)
+    assert isinstance(admission.submit(request("/small"), 5.0), int)
 
 
-def test_resumes_start_before_new_work_at_a_bounded_rate() -> None:
-    """An engine dies with twenty streams, and all of them go on at the same moment.
+def test_resumed_generations_start_before_new_work_at_a_bounded_rate() -> None:
+    """Guards against a burst of prefills after a crash of an engine with twenty streams.
 
-    Their prefills would delay every stream of the engines that are left; and new
-    requests that stand in the queue longer would otherwise start before them.
+    If all were resumed at once, their prefills would delay every stream of the engines that are
+    left. Without priority, new requests that have waited longer would start before them.
     """
     admission = one_vm(slots=4)
     for leaf in LEAVES:
         for _ in range(4):
-            admission.submit(ask(leaf), 0.0)
+            admission.submit(request(leaf), 0.0)
     admission.poll(0.0)
-    resumes = {admission.submit(ask("/small", resume=True), 1.0) for _ in range(20)}
+    resumes = {admission.submit(request("/small", resume=True), 1.0) for _ in range(20)}
     first = {one.ticket for one in admission.poll(1.0) if isinstance(one, Granted)}
     assert first and first <= resumes and len(first) <= 2
     started = set(first)
@@ -314,8 +314,8 @@
     assert started == resumes
 
 
-def test_a_queue_tells_its_hopeless_requests_before_their_time() -> None:
-    """What can't start in its time is told so as soon as that is known, not at its end."""
+def test_a_queue_removes_requests_that_cannot_start_in_time() -> None:
+    """Guards against callers that wait until their deadline for a refusal known before."""
     queue = LeafQueue(entitled_rate=0.5)
     for ticket in range(10):
         queue.push(QueuedRequest(ticket=ticket, queued_at=0.0, give_up_at=4.0))
@@ -323,31 +323,31 @@
     assert [waiting.ticket for waiting in hopeless] == [3, 4, 5, 6, 7, 8, 9]
 
 
-def test_what_peers_are_told_is_what_was_used() -> None:
-    """Charges go ahead of use and in steps; at its end a request has cost what it used."""
+def test_an_ended_request_is_charged_for_the_work_it_used() -> None:
+    """Guards against peers that receive charged work, which goes ahead of use and in steps."""
     admission = one_vm()
-    ticket = admission.submit(ask("/small"), 0.0)
+    ticket = admission.submit(request("/small"), 0.0)
     assert isinstance(ticket, int)
     admission.poll(0.0)
     for step in range(333):
         admission.charge(ticket, 1.0, step * 0.1)
     admission.release(ticket, 34.0)
-    news = admission.due_update(40.0)
-    assert news is not None
-    assert [leaf.committed for leaf in news.leaves] == [333]
+    update = admission.due_update(40.0)
+    assert update is not None
+    assert [leaf.committed for leaf in update.leaves] == [333]
 
 
-def test_a_vm_that_boots_in_a_flood_does_not_take_the_pool_for_free() -> None:
-    """A VM restarts in a busy hour, and for a second the engines get twice their slots.
+def test_a_vm_that_starts_in_a_flood_does_not_overfill_the_pool() -> None:
+    """Guards against engines that get twice their slots for a second after a VM restarts.
 
-    Order: it starts, callers come at once, and no peer has told its sums yet; by what
-    it has heard the pool is idle. Only the engines' reports say that it is not.
+    The VM starts under load before any peer has sent its totals, so that by these the pool is
+    idle. Only the engines' load reports show that it is not.
     """
     admission = one_vm(slots=8)
     admission.set_report(PoolReport(slots=8, running=8))
     for leaf in LEAVES:
         for _ in range(4):
-            admission.submit(ask(leaf), 0.0)
+            admission.submit(request(leaf), 0.0)
     granted = [one for one in admission.poll(0.0) if isinstance(one, Granted)]
     assert len(granted) <= 2
     later = [one for one in admission.poll(4.0) if isinstance(one, Granted)]
--- a/lagoonlever/tests/hedging_tests.py
+++ b/lagoonlever/tests/hedging_tests.py
@@ -1,4 +1,4 @@
-"""State machine over lookups: runners that answer, fail, stall, leave; budgets that run out."""
+"""State machine over hedged calls: runners answer, fail, stall and leave; budgets run out."""
 
 from __future__ import annotations
 
@@ -36,10 +36,10 @@
 
 
 class HedgingMachine(RuleBasedStateMachine):
-    """Several calls over three runners, one event a rule."""
+    """Several calls to three runners, one event per rule."""
 
     budget_class: type[RetryBudget] = RetryBudget
-    asks_again = True
+    refreshes_names = True
 
     def __init__(self) -> None:
         super().__init__()
@@ -60,7 +60,7 @@
     def begin(self) -> None:
         names = tuple(self.live)
         call = HedgedCall(
-            live_names=lambda: tuple(self.live) if self.asks_again else names,
+            live_names=lambda: tuple(self.live) if self.refreshes_names else names,
             runners=self.runners,
             delay=self.delay,
             budget=self.budget,
@@ -104,7 +104,7 @@
 
     @precondition(lambda self: any(open_ for _, open_ in self.calls))
     @rule(index=st.integers(0, 4))
-    def attempt_reaches_nobody(self, index: int) -> None:
+    def attempt_does_not_reach_its_runner(self, index: int) -> None:
         busy = [pair for pair in self.calls if pair[1]]
         call, open_ = busy[index % len(busy)]
         runner = next(iter(open_))
@@ -136,10 +136,10 @@
 
 
 def test_lookups_are_hedged_within_their_budget() -> None:
-    """Runners stall, fail, leave and come back while clerks look up prices.
+    """Guards against hedges that go to a leaving runner, or twice to one runner.
 
-    A naive hedge would go to a runner that leaves, send twice to one runner, or
-    double the load of runners that are slow because they are overloaded.
+    It also guards against hedges that double the load of runners which are slow because they
+    are overloaded. Runners stall, fail, leave and come back while calls run.
     """
     run_machine(
         HedgingMachine,
@@ -154,7 +154,7 @@
 
 
 class EndlessBudget(RetryBudget):
-    """Guard off: every extra attempt is allowed."""
+    """Budget without its guard: every extra attempt is allowed."""
 
     @property
     def allows(self) -> bool:
@@ -166,13 +166,13 @@
 
 
 class StaleNamesMachine(HedgingMachine):
-    """Guard off: a call keeps the runners that it saw when it began."""
+    """Machine without the guard: a call keeps the list of runners from its start."""
 
-    asks_again = False
+    refreshes_names = False
 
 
 def every_runner_slow(machine: HedgingMachine) -> None:
-    """Let all runners answer later than any hedge delay, as in an overload."""
+    """Make all runners answer later than any hedge delay, as in an overload."""
     for _ in range(40):
         machine.begin()
         for _ in range(3):
@@ -182,7 +182,7 @@
 
 
 def runners_leave_with_hedges_pending(machine: HedgingMachine) -> None:
-    """Let two of three runners leave while a call waits for its hedge."""
+    """Make two of three runners leave while a call waits for its hedge."""
     machine.begin()
     machine.decide(0)
     first = next(iter(machine.calls[0][1]))
@@ -204,7 +204,10 @@
 def test_each_guard_is_needed(
     story: Callable[[HedgingMachine], None], guard_off: type[HedgingMachine]
 ) -> None:
-    """Without budgets an overload is doubled; without a fresh look a leaving runner gets work."""
+    """Check that the invariants fail without each guard.
+
+    Without budgets hedges double an overload; with a stale list a leaving runner gets calls.
+    """
 
     def play(machine: HedgingMachine) -> None:
         story(machine)
@@ -216,7 +219,7 @@
 
 
 def test_a_stalled_runner_is_avoided_and_probed_again() -> None:
-    """A runner freezes, and later thaws: it is left out soon, and comes back by itself."""
+    """Guards against a stalled runner that keeps getting calls, or gets none after it recovers."""
     runners = Runners(rng=random.Random(1), max_outstanding=MAX_OUTSTANDING)
     for _ in range(2):
         runners.on_sent("a")
@@ -230,14 +233,14 @@
     assert "a" in {runners.choose(NAMES, now=9.2) for _ in range(50)}
 
 
-def test_the_delay_is_learnt_from_answers() -> None:
+def test_the_hedge_delay_follows_answer_latencies() -> None:
     delay = HedgeDelay()
     for number in range(SAMPLES_NEEDED * 2):
         delay.on_answer(0.010 + 0.0001 * (number % 10))
     assert 0.010 <= delay.delay_s <= 0.011
 
 
-def test_overload_shrinks_a_budget_and_success_mends_it() -> None:
+def test_overload_reduces_a_budget_and_success_restores_it() -> None:
     budget = RetryBudget()
     for _ in range(5):
         budget.on_overload()
@@ -249,14 +252,14 @@
     assert budget.ratio == pytest.approx(FULL_RATIO)
 
 
-def test_an_extra_attempt_is_paid_by_all_budgets_or_by_none() -> None:
+def test_an_extra_attempt_is_charged_to_all_budgets_or_none() -> None:
     full, empty = RetryBudget(), RetryBudget(tokens=0.5)
     assert not take_extra(full, empty)
     assert full.tokens == RESERVE_TOKENS
 
 
 @given(seed=st.integers(), base_s=st.floats(2.0, 50.0))
-def test_callers_are_told_to_come_back_apart_from_each_other(seed: int, base_s: float) -> None:
+def test_retry_times_of_callers_are_spread(seed: int, base_s: float) -> None:
     come_back = ComeBack(base_s=base_s, rng=random.Random(seed))
     times = [come_back.after_s() for _ in range(60)]
     assert all(0.75 * base_s - 1 <= time <= 1.25 * base_s + 1 for time in times)
@@ -265,7 +268,7 @@
 
 
 def test_an_organisation_without_a_budget_gets_no_extra_attempt() -> None:
-    """An operator sets the retry budget to 0, and lookups stop with a fault of our own."""
+    """Guards against an internal error in calls after an operator sets the retry budget to 0."""
     budget = RetryBudget.of_ratio(0.0)
     for _ in range(50):
         budget.on_success()
@@ -275,7 +278,7 @@
 
 @attrs.define(kw_only=True, eq=False)
 class CallOfTwo:
-    """A lookup of a service of two runners, of which two may be tried."""
+    """Call of a service with two runners and at most two attempts."""
 
     now: float = 0.0
     runners: Runners = attrs.field(
@@ -294,43 +297,46 @@
             max_attempts=2,
         )
 
-    def sent(self) -> str:
-        """Give the runner that an attempt goes to now."""
+    def send(self) -> str:
+        """Return the runner that an attempt is sent to now."""
         decision = self.call.decide(self.now)
         assert isinstance(decision, Send)
         return decision.runner
 
 
-def test_a_runner_that_was_not_reached_is_tried_again_after_another_s_failure() -> None:
-    """Guards against a caller that gets one runner's failure as no connection came in time."""
+def test_an_unreached_runner_is_tried_again_after_another_one_fails() -> None:
+    """Guards against a caller that gets one runner's failure while another one may answer.
+
+    The connection to the other runner was only not made in time.
+    """
     story = CallOfTwo()
-    failing = story.sent()
+    failing = story.send()
     story.call.on_error(failing)
-    other = story.sent()
+    other = story.send()
     story.call.on_unreached(other, story.now)
     assert other != failing
-    assert story.sent() == other
+    assert story.send() == other
 
 
-def test_a_hedge_that_reached_nobody_is_tried_again_once_the_first_has_failed() -> None:
+def test_an_unreached_hedge_is_sent_again_after_the_first_attempt_fails() -> None:
     story = CallOfTwo()
-    first = story.sent()
+    first = story.send()
     story.now += 0.06
     story.call.decide(story.now)
     story.now += 0.06
-    other = story.sent()
+    other = story.send()
     story.call.on_unreached(other, story.now)
     assert isinstance(story.call.decide(story.now), Wait)
     story.call.on_error(first)
-    assert story.sent() == other
+    assert story.send() == other
 
 
-def test_a_call_that_reached_nobody_is_still_at_its_first_attempt() -> None:
-    """Guards against a lookup that is refused as the first two of its runners were not reached."""
+def test_unreached_attempts_are_not_counted() -> None:
+    """Guards against a call that fails because its first two attempts reached no runner."""
     story = CallOfTwo()
     tried = []
     for _ in range(4):
-        tried.append(story.sent())
+        tried.append(story.send())
         story.call.on_unreached(tried[-1], story.now)
         assert story.call.attempts == 0
     assert sorted(tried) == ["a", "a", "b", "b"]
--- a/lagoonlever/tests/prompt_admission_tests.py
+++ b/lagoonlever/tests/prompt_admission_tests.py
@@ -1,4 +1,4 @@
-"""When a prompt is refused because engines read too much, and what its caller is told."""
+"""Tests of the rejection of prompts while engines spend too much of their time on prefill."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 import pytest
 
 from lagoonlever.decisions.admission.prompt_admission import (
-    COME_BACK_S,
     MIN_PROMPTS,
+    RETRY_AFTER_RANGE_S,
     WINDOW_S,
     PrefillLoad,
     admits_prompt,
@@ -20,38 +20,38 @@
 
 
 def most(times: float) -> float:
-    """Give the bound on engines that take so many times as long as some others."""
+    """Return the bound for engines that are slower by a factor."""
     return max_prefill_share(
-        making_s=3.9 * times, reading_s=1.1 * times, allowed_s=25.0, slowdown=7.0
+        decode_s=3.9 * times, prefill_s=1.1 * times, allowed_s=25.0, slowdown=7.0
     )
 
 
-def test_engines_that_end_an_answer_soon_may_read_for_most_of_their_time() -> None:
+def test_fast_engines_may_prefill_for_most_of_their_time() -> None:
     assert most(1.0) > 0.85
 
 
-def test_the_slower_engines_are_the_less_they_may_read() -> None:
+def test_slower_engines_may_prefill_less() -> None:
     bounds = [most(times) for times in (1.0, 1.5, 2.0, 2.5, 3.0, 6.0)]
     assert bounds == sorted(bounds, reverse=True)
     assert bounds[-1] == 0.0
 
 
-def test_where_prompts_slow_nobody_down_there_is_no_bound() -> None:
-    assert max_prefill_share(making_s=4.0, reading_s=1.0, allowed_s=25.0, slowdown=1.0) == float(
+def test_there_is_no_bound_if_prefill_does_not_slow_down_decode() -> None:
+    assert max_prefill_share(decode_s=4.0, prefill_s=1.0, allowed_s=25.0, slowdown=1.0) == float(
         "inf"
     )
 
 
-def test_a_few_prompts_tell_no_share() -> None:
-    assert admits_prompt(PrefillLoad(prompts=MIN_PROMPTS - 1, share=5.0), most=0.5)
-    assert not admits_prompt(PrefillLoad(prompts=MIN_PROMPTS, share=0.6), most=0.5)
-    assert admits_prompt(PrefillLoad(prompts=MIN_PROMPTS, share=0.4), most=0.5)
+def test_too_few_prompts_are_never_rejected() -> None:
+    assert admits_prompt(PrefillLoad(prompts=MIN_PROMPTS - 1, share=5.0), max_share=0.5)
+    assert not admits_prompt(PrefillLoad(prompts=MIN_PROMPTS, share=0.6), max_share=0.5)
+    assert admits_prompt(PrefillLoad(prompts=MIN_PROMPTS, share=0.4), max_share=0.5)
 
 
-def test_callers_are_told_different_times_to_come_back() -> None:
+def test_callers_get_different_retry_times() -> None:
     told = {random_retry_after_s(random.Random(seed)) for seed in range(20)}
     assert len(told) == 20
-    assert all(COME_BACK_S[0] <= each <= COME_BACK_S[1] for each in told)
+    assert all(RETRY_AFTER_RANGE_S[0] <= each <= RETRY_AFTER_RANGE_S[1] for each in told)
 
 
 def test_the_load_counts_the_prompts_of_all_vms_over_the_window() -> None:
@@ -65,10 +65,11 @@
     assert on.reading_load(SERVICE, engines=6, now=40.0).prompts == 0
 
 
-def test_runs_that_a_vm_hears_of_at_its_start_are_no_load() -> None:
-    """A VM starts and is told of the open runs of all others, most of them read long ago.
+def test_runs_announced_to_a_starting_vm_are_not_prefill_load() -> None:
+    """Guards against rejections at a VM that has just started.
 
-    It took them for prompts of that moment, and would have refused new ones on slow engines.
+    It receives the open runs of all VMs, most of them prefilled long ago. Counted as prompts of
+    that moment they would exceed the bound on slow engines.
     """
     on = book()
     on.paces = seen(times=2.0)
@@ -77,10 +78,11 @@
     assert on.reading_load(SERVICE, engines=6, now=10.1).prompts == 0
 
 
-def test_engines_that_have_just_crashed_still_count() -> None:
-    """A third of the engines crashes, as it does every few seconds, and is back in two.
+def test_engines_that_crashed_within_the_window_still_count() -> None:
+    """Guards against rejections after a crash of a third of the engines.
 
-    By the engines of that moment alone prompts were refused that all could bear.
+    Such crashes come every few seconds, and the engines are back in two. If only the engines of
+    that moment counted, prompts would be rejected that all engines together can bear.
     """
     on = book()
     on.paces = seen(times=1.0)
@@ -91,11 +93,11 @@
     assert on.reading_load(SERVICE, engines=4, now=16.1 + WINDOW_S).prompts == 0
 
 
-def test_a_prompt_that_engines_can_t_bear_is_refused_at_once_and_returns_are_not() -> None:
-    """Engines are slow and have been given prompts for all of their time.
+def test_overloaded_engines_reject_new_prompts_and_accept_resumed_streams() -> None:
+    """Guards against new prompts on slow engines whose time is already full of prefills.
 
-    A new caller is told when to come back, and nothing of its request has run. One that
-    comes back with a part of its answer is served.
+    A new caller is rejected with a retry time, and nothing of its request has run. A caller
+    that resumes a partly received answer is served.
     """
 
     async def story(site: GatewaySite) -> None:
@@ -120,11 +122,12 @@
     run_site(story, vms=1)
 
 
-def test_a_caller_with_little_time_is_not_refused_for_a_usual_load() -> None:
-    """All VMs were lost, and callers come back with five seconds, before any event.
+def test_a_caller_with_little_time_is_not_rejected_under_usual_load() -> None:
+    """Guards against rejections of callers that return after a loss of all VMs.
 
-    Engines read for a quarter of their time. The callers were refused as if that were too
-    much, and their answers would have come in time.
+    They have five seconds left, and have received no event. The engines prefill for a quarter
+    of their time, which is a usual load. The callers were rejected although their answers would
+    have ended in time.
     """
 
     async def story(site: GatewaySite) -> None:
--- a/lagoonlever/tests/retry_window_tests.py
+++ b/lagoonlever/tests/retry_window_tests.py
@@ -1,4 +1,4 @@
-"""Repeats are bounded by the requests of the same window, over all VMs together."""
+"""Tests that retries are bounded by the requests of the same window, over all VMs together."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     return RetryWindow(ratio=RATIO, window_s=WINDOW_S, slack=SLACK)
 
 
-def test_a_quiet_vm_may_repeat_its_share_of_the_slack() -> None:
+def test_a_vm_without_requests_may_use_its_share_of_the_slack() -> None:
     quiet = window()
     taken = sum(quiet.try_record_retry(0.0, vms=VMS) for _ in range(100))
     assert 5 <= taken <= SLACK / VMS
@@ -23,18 +23,18 @@
 @given(
     st.lists(st.tuples(st.floats(0.0, 0.5), st.integers(0, VMS - 1), st.booleans()), max_size=400)
 )
-def test_all_vms_together_keep_to_the_bound(steps: list[tuple[float, int, bool]]) -> None:
+def test_all_vms_together_stay_within_the_bound(steps: list[tuple[float, int, bool]]) -> None:
     windows = [window() for _ in range(VMS)]
     requests: list[float] = []
-    repeats: list[float] = []
+    retries: list[float] = []
     now = 0.0
     for after_s, vm, fails in steps:
         now += after_s
         windows[vm].record_request(now)
         requests.append(now)
         while fails and windows[vm].try_record_retry(now, vms=VMS):
-            repeats.append(now)
-        recent = [at for at in repeats if now - at <= WINDOW_S]
+            retries.append(now)
+        recent = [at for at in retries if now - at <= WINDOW_S]
         asked = [at for at in requests if now - at <= WINDOW_S]
         assert len(recent) <= RATIO * len(asked) + SLACK
 
@@ -47,30 +47,30 @@
     assert sliding.try_record_retry(WINDOW_S * 1.1, vms=VMS)
 
 
-def test_repeats_of_other_vms_count_too() -> None:
-    """Half of the engines crash, and every VM sends its streams again at once.
+def test_retries_of_other_vms_count() -> None:
+    """Guards against a retry storm after half of the engines crash.
 
-    Each VM hears of the attempts of all others. Together they must keep to the bound of
-    the service, though none of them sends more than a few.
+    Every VM retries its streams at once and counts the attempts of all others. Together they
+    must stay within the bound of the service, though each sends only a few.
     """
-    heard = window()
+    counted = window()
     for _ in range(200):
-        heard.record_request(0.0)
+        counted.record_request(0.0)
     sent = 0
-    while heard.allows(0.1, vms=1):
-        heard.record_retry(0.1)
+    while counted.allows(0.1, vms=1):
+        counted.record_retry(0.1)
         sent += 1
     assert 200 <= sent <= RATIO * 200 + SLACK
 
 
-def test_what_is_only_of_advantage_leaves_room() -> None:
-    heard = window()
-    while heard.allows(0.0, vms=1, part=0.5):
-        heard.record_retry(0.0)
-    assert heard.allows(0.0, vms=1)
+def test_optional_retries_leave_a_share_to_necessary_ones() -> None:
+    counted = window()
+    while counted.allows(0.0, vms=1, share=0.5):
+        counted.record_retry(0.0)
+    assert counted.allows(0.0, vms=1)
 
 
-def test_a_repeat_that_reached_nobody_is_counted_no_more() -> None:
+def test_a_cancelled_retry_is_not_counted() -> None:
     sliding = window()
     while sliding.try_record_retry(0.0, vms=VMS):
         pass
--- a/lagoonlever/tests/room_line_load_tests.py
+++ b/lagoonlever/tests/room_line_load_tests.py
@@ -1,4 +1,4 @@
-"""Loads on the line for room, replayed at fleets of each size, in virtual time."""
+"""Load tests of the prompt queue: replays with fleets of several sizes, in virtual time."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
 SETTLED_S = 4.0
 ENGINES = 45
 CRASHED = tuple(f"e-{number}" for number in range(0, 33, 3))
-"""A quarter of them, all in one data centre."""
-READING_S, MAKING_S = 1.2, 4.0
+"""A quarter of the engines, all in one data centre."""
+PREFILL_S, DECODE_S = 1.2, 4.0
 URGENT_S, PATIENT_S, CALLER_S = 4.0, 10.0, 25.0
 CONNECTION_S = 0.01
 LOAD_S = 8.0
-"""A half or a quarter of it in large fleets, whose replay takes long."""
+"""Duration of the load; large fleets get a half or a quarter of it, as their replay is slow."""
 
 
 @attrs.define(kw_only=True, eq=False)
 class Engines:
-    """Each reads one prompt after the other; a crash ends what it has."""
+    """Engines that prefill one prompt at a time; a crash ends their work."""
 
     slow: float = 1.0
     free_at: Counter[str] = attrs.field(factory=Counter)
@@ -41,27 +41,27 @@
             self.down.pop(name, trio.Event()).set()
             self.free_at.pop(name, None)
 
-    async def lives(self, name: str, until: float) -> bool:
-        """Wait for what an engine does until then; false if it crashes before."""
+    async def survives_until(self, name: str, until: float) -> bool:
+        """Wait until a time; return False if the engine crashes before."""
         with trio.move_on_at(until):
             await self.down.setdefault(name, trio.Event()).wait()
             return False
         return True
 
-    async def read(self, name: str) -> bool:
+    async def prefill(self, name: str) -> bool:
         begins = max(self.free_at[name], trio.current_time())
-        self.free_at[name] = begins + READING_S * self.slow
-        return await self.lives(name, self.free_at[name])
+        self.free_at[name] = begins + PREFILL_S * self.slow
+        return await self.survives_until(name, self.free_at[name])
 
 
 @attrs.define(kw_only=True, eq=False)
 class Replay:
-    """Streams of two ranks, and what became of them."""
+    """Streams of two ranks, with counts of their outcomes."""
 
     fleet: Fleet
     vms: list[PlacingVm]
     engines: Engines
-    with_line: bool = True
+    with_queue: bool = True
     sent: Counter[int] = attrs.field(factory=Counter)
     in_time: Counter[int] = attrs.field(factory=Counter)
     refused: Counter[int] = attrs.field(factory=Counter)
@@ -76,7 +76,7 @@
 
     async def _stream(self, vm: PlacingVm, request: str, rank: int) -> None:
         arrived, avoid = trio.current_time(), set[str]()
-        aim_s = URGENT_S if rank == 0 else PATIENT_S
+        objective_s = URGENT_S if rank == 0 else PATIENT_S
         while True:
             ask = RunAsk(
                 request=request,
@@ -89,23 +89,23 @@
             need = LineNeed(
                 rank=rank,
                 waited_s=waited_s,
-                first_event_in_s=aim_s - waited_s,
+                first_event_in_s=objective_s - waited_s,
                 end_in_s=CALLER_S - waited_s,
             )
-            outcome = await (vm.asker.place(ask, need) if self.with_line else vm.placer.place(ask))
+            outcome = await (vm.asker.place(ask, need) if self.with_queue else vm.placer.place(ask))
             if isinstance(outcome, RejectedWithRetryAfter):
-                assert trio.current_time() - arrived <= aim_s / 8
+                assert trio.current_time() - arrived <= objective_s / 8
                 self.refused[rank] += 1
                 break
             assert isinstance(outcome, Placed), outcome
             vm.peers.begin(vm.booked(request, outcome))
             await trio.sleep(CONNECTION_S)
-            if not await self.engines.read(outcome.engine):
+            if not await self.engines.prefill(outcome.engine):
                 avoid.add(outcome.engine)
                 continue
             vm.peers.flows(request)
-            self.in_time[rank] += trio.current_time() - arrived <= aim_s
-            await trio.sleep(MAKING_S)
+            self.in_time[rank] += trio.current_time() - arrived <= objective_s
+            await trio.sleep(DECODE_S)
             vm.peers.end(RunEnded(request=request, whole=True))
             break
         self.ended[request] += 1
@@ -113,7 +113,7 @@
             self.all_ended.set()
 
     async def load(self, seconds: float, *, urgent: float, patient: float) -> None:
-        """Begin so many streams of each rank a second, at VMs that are drawn."""
+        """Start streams of each rank at these rates per second, at random VMs."""
         rng = random.Random(1)
         for _ in range(round(seconds * (urgent + patient))):
             is_urgent = rng.random() < urgent / (urgent + patient)
@@ -142,9 +142,12 @@
     slow: float = 1.0,
     crash: bool = True,
     at_once: int = 0,
-    with_line: bool = True,
+    with_queue: bool = True,
 ) -> Replay:
-    """Play eight seconds, a crash of a quarter of the engines after two, and all that follows."""
+    """Replay eight seconds of load with a crash of a quarter of the engines after two.
+
+    Return when all streams have ended; each must end exactly once.
+    """
     made: list[Replay] = []
     seconds = LOAD_S if vms <= 60 else LOAD_S / 2 if vms <= 88 else LOAD_S / 4
 
@@ -154,7 +157,7 @@
         placing = list(placing_fleet(fleet, engine_count=ENGINES).values())
         await trio.sleep(0.1)
         engines = Engines(slow=slow)
-        played = Replay(fleet=fleet, vms=placing, engines=engines, with_line=with_line)
+        played = Replay(fleet=fleet, vms=placing, engines=engines, with_queue=with_queue)
         made.append(played)
         for number in range(at_once):
             played.begin(0 if number % 10 == 0 else 2, placing[number % len(placing)])
@@ -173,8 +176,8 @@
 
 
 @pytest.mark.parametrize("vms", SIZES)
-def test_a_burst_into_a_crash_of_a_quarter_is_served_in_time_and_nobody_refused(vms: int) -> None:
-    """Guards against urgent prompts behind patient ones, and refusals of who could wait."""
+def test_a_burst_during_a_crash_of_a_quarter_is_served_in_time_without_rejections(vms: int) -> None:
+    """Guards against urgent prompts behind patient ones, and rejections of those that could wait."""
     played = replay(vms, urgent=2.0, patient=50.0)
     assert not played.refused
     assert played.share(0) >= 0.95
@@ -182,31 +185,31 @@
 
 
 @pytest.mark.parametrize("vms", [9, 60])
-def test_a_storm_of_returns_is_served_in_the_order_of_need(vms: int) -> None:
-    """Guards against returns that all go to engines at once, the urgent behind the others."""
+def test_a_burst_of_returning_callers_is_served_by_urgency(vms: int) -> None:
+    """Guards against returning callers that fill the engines at once, urgent ones behind others."""
     played = replay(vms, urgent=2.0, patient=2.0, crash=False, at_once=200)
     assert not played.refused
     assert played.share(0) == 1.0
     assert played.share(2) >= 0.95
 
 
-def test_where_most_cannot_be_served_the_urgent_are_and_the_others_are_told_at_once() -> None:
-    """Guards against lateness for all where engines can read a third of what comes."""
+def test_under_overload_urgent_prompts_are_served_and_others_rejected() -> None:
+    """Guards against delays for all prompts where engines can prefill a third of the load."""
     played = replay(SIZES[0], urgent=2.0, patient=90.0)
     assert played.share(0) >= 0.9
     assert played.refused[0] == 0
     assert played.refused[2] > 0
 
 
-def test_engines_that_are_five_times_slower_still_serve_who_waits() -> None:
-    """Guards against prompts that are dropped or refused where room is only slow to come."""
+def test_queued_prompts_are_served_by_engines_five_times_slower() -> None:
+    """Guards against prompts that are dropped or rejected though capacity comes, only slowly."""
     played = replay(SIZES[0], urgent=1.0, patient=8.0, crash=False, slow=5.0)
     assert not played.refused
     assert played.share(2) >= 0.9
 
 
-def test_one_rank_only_is_served_first_come_first_served() -> None:
-    """Guards against an order that serves prompts that are all alike worse than none."""
-    with_line = replay(SIZES[0], urgent=0.0, patient=50.0)
-    without = replay(SIZES[0], urgent=0.0, patient=50.0, with_line=False)
-    assert with_line.in_time[2] >= without.in_time[2]
+def test_prompts_of_one_rank_are_served_no_worse_than_without_the_queue() -> None:
+    """Guards against an order that serves equal prompts worse than no queue would."""
+    with_queue = replay(SIZES[0], urgent=0.0, patient=50.0)
+    without = replay(SIZES[0], urgent=0.0, patient=50.0, with_queue=False)
+    assert with_queue.in_time[2] >= without.in_time[2]
--- a/lagoonlever/tests/room_line_tests.py
+++ b/lagoonlever/tests/room_line_tests.py
@@ -1,181 +1,191 @@
-"""The line for room at engines: who goes first, who is told that it can't be, who is dropped."""
+"""Tests of the queue of prompts for engine capacity: order, rejections and expiry."""
 
 from __future__ import annotations
 
 from lagoonlever.decisions.admission.capacity import CapacityRequest
 from lagoonlever.decisions.admission.prompt_queue import (
-    OTHERS_FIRST,
+    MAX_CONSECUTIVE_URGENT_STARTS,
     RENEWAL_TIMEOUT_S,
-    STALLED_S,
+    STALL_TIMEOUT_S,
     PromptQueue,
     QueuedPrompt,
     QueuedPromptId,
 )
 
 URGENT_S, PATIENT_S = 4.0, 10.0
-READING_S = 1.2
+PREFILL_S = 1.2
 CALLER_S = 25.0
 FAST, SLOW = 30.0, 2.0
-"""Prompts a second that engines can read."""
+"""Prompts per second that the engines can prefill."""
 
 
-def waiting(
+def prompt(
     number: int,
     *,
     rank: int = 2,
     at: float = 0.0,
     arrived: float | None = None,
-    broken: bool = False,
+    interrupted: bool = False,
 ) -> QueuedPrompt:
-    came = at if arrived is None else arrived
-    aim_s = URGENT_S if rank == 0 else PATIENT_S
-    ask = CapacityRequest(
+    arrived_at = at if arrived is None else arrived
+    objective_s = URGENT_S if rank == 0 else PATIENT_S
+    request = CapacityRequest(
         request_id=f"r{number:03}",
         service="engines",
         rank=rank,
-        arrived_at=came,
-        start_by=came + aim_s - READING_S,
-        end_by=came + CALLER_S - READING_S,
+        arrived_at=arrived_at,
+        start_by=arrived_at + objective_s - PREFILL_S,
+        end_by=arrived_at + CALLER_S - PREFILL_S,
     )
-    place = QueuedPromptId(vm=f"vm-{number}", number=number)
+    prompt_id = QueuedPromptId(vm=f"vm-{number}", number=number)
     return QueuedPrompt(
-        prompt_id=place, request=ask, enqueued_at=at, renewed_at=at, interrupted=broken
+        prompt_id=prompt_id, request=request, enqueued_at=at, renewed_at=at, interrupted=interrupted
     )
 
 
-def line_of(*all_waiting: QueuedPrompt) -> PromptQueue:
-    line = PromptQueue()
+def queue_of(*all_waiting: QueuedPrompt) -> PromptQueue:
+    queue = PromptQueue()
     for each in all_waiting:
-        line.enqueue_or_renew(each)
-    return line
+        queue.enqueue_or_renew(each)
+    return queue
 
 
-def order_of(line: PromptQueue, now: float, *, per_s: float = FAST) -> list[str]:
-    return [each.request_id.request for each in line.order(now, most_per_s=per_s)]
+def order_of(queue: PromptQueue, now: float, *, per_s: float = FAST) -> list[str]:
+    return [each.request.request_id for each in queue.order(now, max_per_s=per_s)]
 
 
-def serve(line: PromptQueue, now: float, *, per_s: float = FAST) -> QueuedPrompt:
-    first = line.order(now, most_per_s=per_s)[0]
-    line.record_start(first.prompt_id, now)
+def serve(queue: PromptQueue, now: float, *, per_s: float = FAST) -> QueuedPrompt:
+    first = queue.order(now, max_per_s=per_s)[0]
+    queue.record_start(first.prompt_id, now)
     return first
 
 
-def test_who_must_start_sooner_goes_first_while_all_can_be_reached() -> None:
-    """Guards against urgent prompts that wait behind patient ones who came before."""
-    line = line_of(waiting(1), waiting(2, rank=0), waiting(3, at=-7.0))
-    assert order_of(line, 0.0) == ["r003", "r002", "r001"]
+def test_earliest_latest_start_goes_first_while_all_can_start_in_time() -> None:
+    """Guards against a prompt that is due soon but waits behind prompts that are due later.
 
+    While all can start in time, the order is by the latest start, not by rank or arrival.
+    """
+    queue = queue_of(prompt(1), prompt(2, rank=0), prompt(3, at=-7.0))
+    assert order_of(queue, 0.0) == ["r003", "r002", "r001"]
 
-def test_rank_goes_first_where_both_cannot_be_served() -> None:
-    """Guards against an urgent prompt that is late for a patient one that started before it."""
-    patient = [waiting(n, at=-7.0) for n in range(20)]
-    line = line_of(*patient, waiting(99, rank=0))
-    assert order_of(line, 0.0, per_s=SLOW)[0] == "r099"
 
+def test_urgent_rank_goes_first_where_not_all_can_start_in_time() -> None:
+    """Guards against an urgent prompt that misses its objective behind patient ones."""
+    patient = [prompt(n, at=-7.0) for n in range(20)]
+    queue = queue_of(*patient, prompt(99, rank=0))
+    assert order_of(queue, 0.0, per_s=SLOW)[0] == "r099"
 
-def test_the_patient_get_one_place_in_four() -> None:
-    """Guards against patient callers who get nothing while urgent ones keep coming."""
-    line = line_of(*(waiting(n, rank=0) for n in range(100, 140)), waiting(1), waiting(2))
-    served = [serve(line, 0.0, per_s=SLOW).request.rank for _ in range(2 * (OTHERS_FIRST + 1))]
-    assert served == [*[0] * OTHERS_FIRST, 2] * 2
 
+def test_one_start_in_four_goes_to_a_lower_rank() -> None:
+    """Guards against starvation of patient prompts while urgent ones keep arriving."""
+    queue = queue_of(*(prompt(n, rank=0) for n in range(100, 140)), prompt(1), prompt(2))
+    served = [
+        serve(queue, 0.0, per_s=SLOW).request.rank
+        for _ in range(2 * (MAX_CONSECUTIVE_URGENT_STARTS + 1))
+    ]
+    assert served == [*[0] * MAX_CONSECUTIVE_URGENT_STARTS, 2] * 2
 
-def test_a_stream_that_broke_off_is_not_passed_by_for_good() -> None:
-    """Guards against a caller with half an answer who waits while fresh prompts keep coming."""
-    line = line_of(waiting(1, broken=True), *(waiting(n) for n in range(100, 110)))
-    served = [serve(line, 0.0).request_id.request for _ in range(OTHERS_FIRST + 1)]
-    assert "r001" not in served[:OTHERS_FIRST]
+
+def test_an_interrupted_stream_is_not_starved_by_new_prompts() -> None:
+    """Guards against a caller with half an answer that waits while new prompts keep arriving."""
+    queue = queue_of(prompt(1, interrupted=True), *(prompt(n) for n in range(100, 110)))
+    served = [
+        serve(queue, 0.0).request.request_id for _ in range(MAX_CONSECUTIVE_URGENT_STARTS + 1)
+    ]
+    assert "r001" not in served[:MAX_CONSECUTIVE_URGENT_STARTS]
     assert served[-1] == "r001"
 
 
-def test_who_is_late_goes_last_and_is_still_served() -> None:
-    """Guards against room that stays idle, and against room that is spent on lateness."""
-    line = line_of(waiting(1, rank=0, at=-5.0), waiting(2))
-    assert order_of(line, 0.0) == ["r002", "r001"]
-    serve(line, 0.0)
-    assert serve(line, 0.1).request_id.request == "r001"
+def test_a_late_prompt_goes_last_and_is_still_served() -> None:
+    """Guards against idle capacity, and against late prompts that make others late as well."""
+    queue = queue_of(prompt(1, rank=0, at=-5.0), prompt(2))
+    assert order_of(queue, 0.0) == ["r002", "r001"]
+    serve(queue, 0.0)
+    assert serve(queue, 0.1).request.request_id == "r001"
 
 
-def test_a_prompt_lost_before_its_first_event_keeps_its_arrival() -> None:
-    """Guards against a prompt that goes to the end of the line as its engine crashed."""
-    line = line_of(waiting(1), waiting(2, at=0.5, arrived=-3.0))
-    assert order_of(line, 0.5) == ["r002", "r001"]
+def test_a_prompt_lost_in_a_crash_keeps_its_arrival_time() -> None:
+    """Guards against a prompt that goes to the end of the queue because its engine crashed."""
+    queue = queue_of(prompt(1), prompt(2, at=0.5, arrived=-3.0))
+    assert order_of(queue, 0.5) == ["r002", "r001"]
 
 
-def test_one_that_the_line_reaches_in_time_is_not_refused() -> None:
-    """Guards against refusals of patient callers that engines could have read in time."""
-    line = line_of(*(waiting(n) for n in range(100)))
+def test_a_prompt_that_can_start_in_time_is_not_rejected() -> None:
+    """Guards against rejections of patient callers whose prompts could start in time."""
+    queue = queue_of(*(prompt(n) for n in range(100)))
     last = QueuedPromptId(vm="vm-99", number=99)
-    assert line.rejection(last, 0.0, most_per_s=FAST) is None
+    assert queue.rejection(last, 0.0, max_per_s=FAST) is None
 
 
-def test_one_that_the_line_cannot_reach_is_told_when_to_come_back() -> None:
-    """Guards against callers who wait for seconds for a refusal that was known at once."""
-    line = line_of(*(waiting(n) for n in range(100)))
+def test_a_prompt_that_cannot_start_in_time_is_rejected_with_a_retry_time() -> None:
+    """Guards against callers that wait for seconds for a rejection that was certain at once."""
+    queue = queue_of(*(prompt(n) for n in range(100)))
     last = QueuedPromptId(vm="vm-99", number=99)
-    refused = line.rejection(last, 0.0, most_per_s=SLOW)
+    refused = queue.rejection(last, 0.0, max_per_s=SLOW)
     assert refused is not None
     assert 0.5 <= refused.retry_after_s <= CALLER_S / 3
 
 
-def test_an_urgent_one_is_not_refused_for_the_patient_before_it() -> None:
-    """Guards against a length of line that is told to those who would go first."""
-    line = line_of(*(waiting(n) for n in range(100)), waiting(200, rank=0))
-    assert line.rejection(QueuedPromptId(vm="vm-200", number=200), 0.0, most_per_s=SLOW) is None
+def test_an_urgent_prompt_is_not_rejected_for_queued_patient_ones() -> None:
+    """Guards against rejections by the length of the whole queue, where the prompt goes first."""
+    queue = queue_of(*(prompt(n) for n in range(100)), prompt(200, rank=0))
+    assert queue.rejection(QueuedPromptId(vm="vm-200", number=200), 0.0, max_per_s=SLOW) is None
 
 
-def test_nobody_is_refused_where_nobody_waits() -> None:
-    """Guards against a refusal while the next engine that is ready would be the caller's."""
-    line = line_of(waiting(1, rank=0, arrived=-6.0, at=0.0))
-    place = QueuedPromptId(vm="vm-1", number=1)
-    assert line.rejection(place, 0.0, most_per_s=SLOW) is None
+def test_a_late_prompt_is_not_rejected_where_no_other_waits() -> None:
+    """Guards against a rejection where the next engine that is ready would take the prompt."""
+    queue = queue_of(prompt(1, rank=0, arrived=-6.0, at=0.0))
+    prompt_id = QueuedPromptId(vm="vm-1", number=1)
+    assert queue.rejection(prompt_id, 0.0, max_per_s=SLOW) is None
 
 
-def test_the_rate_is_learnt_from_what_engines_take_while_the_line_is_busy() -> None:
-    """Guards against waits that are told by idle engines, when full memory holds them back."""
-    line = line_of(*(waiting(n, at=0.0) for n in range(60)))
+def test_the_start_rate_is_measured_while_the_queue_is_busy() -> None:
+    """Guards against waits estimated by prefill rate alone, while full memory delays starts."""
+    queue = queue_of(*(prompt(n, at=0.0) for n in range(60)))
     for step in range(8):
-        serve(line, 0.25 * step)
-    late = waiting(200, at=2.0)
-    line.enqueue_or_renew(late)
-    assert line.rejection(late.prompt_id, 2.0, most_per_s=FAST) is not None
+        serve(queue, 0.25 * step)
+    late = prompt(200, at=2.0)
+    queue.enqueue_or_renew(late)
+    assert queue.rejection(late.prompt_id, 2.0, max_per_s=FAST) is not None
 
 
-def test_who_is_not_asked_for_again_is_dropped() -> None:
-    """Guards against places for VMs that are dead, or that ask elsewhere."""
-    line = line_of(waiting(1), waiting(2))
-    again = waiting(2, at=RENEWAL_TIMEOUT_S)
-    assert not line.enqueue_or_renew(again)
-    silent = line.expire(RENEWAL_TIMEOUT_S + 0.1)
-    assert [each.request_id.request for each in silent] == ["r001"]
-    assert len(line) == 1
+def test_a_prompt_that_is_not_renewed_is_dropped() -> None:
+    """Guards against capacity given to VMs that are dead or have turned to another VM."""
+    queue = queue_of(prompt(1), prompt(2))
+    again = prompt(2, at=RENEWAL_TIMEOUT_S)
+    assert not queue.enqueue_or_renew(again)
+    silent = queue.expire(RENEWAL_TIMEOUT_S + 0.1)
+    assert [each.request.request_id for each in silent] == ["r001"]
+    assert len(queue) == 1
 
 
-def test_a_later_question_does_not_change_when_a_prompt_is_late() -> None:
-    """Guards against prompts that move back in line as their questions travel slowly."""
-    line = line_of(waiting(1))
-    line.enqueue_or_renew(waiting(1, at=0.5))
-    assert line.waiting[0].request.start_by == PATIENT_S - READING_S
+def test_a_renewal_does_not_change_when_a_prompt_is_late() -> None:
+    """Guards against prompts that move back in the queue because renewals are delayed."""
+    queue = queue_of(prompt(1))
+    queue.enqueue_or_renew(prompt(1, at=0.5))
+    assert queue.waiting[0].request.start_by == PATIENT_S - PREFILL_S
 
 
-def test_who_cannot_end_in_its_time_any_more_is_named() -> None:
-    """Guards against prompts that are read in vain after a long wait."""
-    line = line_of(waiting(1), waiting(2, at=1.0))
-    assert line.unfinishable(CALLER_S - READING_S) == ()
-    assert [w.request_id.request for w in line.unfinishable(CALLER_S - READING_S + 0.5)] == ["r001"]
+def test_prompts_that_cannot_end_in_time_are_listed() -> None:
+    """Guards against useless prefills of prompts that have waited too long."""
+    queue = queue_of(prompt(1), prompt(2, at=1.0))
+    assert queue.unfinishable(CALLER_S - PREFILL_S) == ()
+    assert [w.request.request_id for w in queue.unfinishable(CALLER_S - PREFILL_S + 0.5)] == [
+        "r001"
+    ]
 
 
-def test_a_line_in_which_nobody_moves_is_stalled() -> None:
-    """Guards against a book that takes all engines for full for good."""
-    line = line_of(waiting(1), waiting(2))
-    assert not line.is_stalled(STALLED_S - 0.1, most_per_s=FAST)
-    assert line.is_stalled(STALLED_S, most_per_s=FAST)
-    line.record_start(QueuedPromptId(vm="vm-1", number=1), STALLED_S)
-    assert not line.is_stalled(STALLED_S + 0.5, most_per_s=FAST)
+def test_a_queue_without_starts_is_stalled() -> None:
+    """Guards against a queue that is stuck because all engines are wrongly believed to be full."""
+    queue = queue_of(prompt(1), prompt(2))
+    assert not queue.is_stalled(STALL_TIMEOUT_S - 0.1, max_per_s=FAST)
+    assert queue.is_stalled(STALL_TIMEOUT_S, max_per_s=FAST)
+    queue.record_start(QueuedPromptId(vm="vm-1", number=1), STALL_TIMEOUT_S)
+    assert not queue.is_stalled(STALL_TIMEOUT_S + 0.5, max_per_s=FAST)
 
 
-def test_engines_that_take_seconds_for_a_prompt_are_not_stalled() -> None:
+def test_a_queue_is_not_stalled_while_engines_take_seconds_per_prompt() -> None:
     """Guards against prompts that pile up inside the engines of a small, slow service."""
-    line = line_of(waiting(1), waiting(2))
-    assert not line.is_stalled(2 * STALLED_S, most_per_s=1.0)
-    assert line.is_stalled(4 * STALLED_S, most_per_s=1.0)
+    queue = queue_of(prompt(1), prompt(2))
+    assert not queue.is_stalled(2 * STALL_TIMEOUT_S, max_per_s=1.0)
+    assert queue.is_stalled(4 * STALL_TIMEOUT_S, max_per_s=1.0)
