--- a/lagoonlever/tests/call_line_tests.py
+++ b/lagoonlever/tests/call_line_tests.py
@@ -72,8 +72,8 @@
 def overload(queue: CallQueue, *, now: float = 0.0) -> None:
     """Make more requests than the runners can serve, and withdraw them all."""
     for number in range(40):
-        queue.request_slot(slot_request(f"overload-{number}", now=now), now)
-        queue.withdraw(f"overload-{number}")
+        queue.request_slot(slot_request(f"crowd-{number}", now=now), now)
+        queue.withdraw(f"crowd-{number}")
 
 
 def test_calls_are_spread_over_free_slots() -> None:
--- a/lagoonlever/tests/room_line_load_tests.py
+++ b/lagoonlever/tests/room_line_load_tests.py
@@ -177,7 +177,7 @@
 
 @pytest.mark.parametrize("vms", SIZES)
 def test_a_burst_during_a_crash_of_a_quarter_is_served_in_time_without_rejections(vms: int) -> None:
-    """Guards against urgent prompts behind patient ones, and rejections of those that could wait."""
+    """Guards against urgent prompts behind patient ones, and rejections of those who can wait."""
     played = replay(vms, urgent=2.0, patient=50.0)
     assert not played.refused
     assert played.share(0) >= 0.95
