--- a/lagoonlever/decisions/admission/hedging.py
+++ b/lagoonlever/decisions/admission/hedging.py
@@ -17,6 +17,7 @@
 from lagoonlever.decisions.shares.budgets import RetryBudget, take_extra
 
 HEDGE_QUANTILE = 0.95
+"""The hedge delay is this quantile of the answers' latencies, within the two bounds below."""
 MIN_DELAY_S = 0.005
 MAX_DELAY_S = 1.0
 INITIAL_DELAY_S = 0.05
--- a/lagoonlever/decisions/admission/runners.py
+++ b/lagoonlever/decisions/admission/runners.py
@@ -16,9 +16,12 @@
 TARGET_LATENCY_S = 0.25
 """Slower answers mean that a runner has more calls than it should; its limit is lowered."""
 LIMIT_DECREASE_FACTOR = 0.7
+"""A runner's limit of calls is multiplied by this when its answers are too slow or fail."""
 
 STALLED_AFTER_LOSSES = 2
+"""A runner that lost this many calls in a row counts as stalled and is avoided."""
 INITIAL_AVOID_S = 0.5
+"""Time after which a stalled runner is probed; it doubles up to ``MAX_AVOID_S``."""
 MAX_AVOID_S = 8.0
 
 FAILURE_WEIGHT = 0.15
