--- a/lagoonlever/bench/stream_day_model.py
+++ b/lagoonlever/bench/stream_day_model.py
@@ -24,7 +24,11 @@
     DayPolicy,
     ModelStream,
 )
-from lagoonlever.decisions.admission.prompt_admission import admits, come_back_s, most_share
+from lagoonlever.decisions.admission.prompt_admission import (
+    admits_prompt,
+    max_prefill_share,
+    random_retry_after_s,
+)
 from lagoonlever.decisions.engines.engine_book import EngineBook
 from lagoonlever.decisions.settings.configuration import EngineLimits
 from lagoonlever.decisions.streams.booked_runs import BookedRun, RunCopy
@@ -210,18 +214,18 @@
         making_s = self._book.paces.usual_making_s(SERVICE)
         if making_s is None:
             return False
-        most = most_share(
-            making_s=making_s,
-            reading_s=self._book.paces.usual_reading_s(SERVICE),
+        most = max_prefill_share(
+            decode_s=making_s,
+            prefill_s=self._book.paces.usual_reading_s(SERVICE),
             allowed_s=self._plan.deadline_s,
             slowdown=self._book.paces.slowdown(SERVICE),
         )
         load = self._book.reading_load(SERVICE, engines=len(self._listed), now=now)
-        if admits(load, most=most):
+        if admits_prompt(load, max_share=most):
             return False
         stream.refused += 1
         if stream.refused <= self._plan.caller_returns:
-            self._at(now + come_back_s(self._rng), partial(self._ask, stream))
+            self._at(now + random_retry_after_s(self._rng), partial(self._ask, stream))
         return True
 
     def _place(self, stream: ModelStream, step: Place, now: float) -> None:
--- a/lagoonlever/gateway/room_asker.py
+++ b/lagoonlever/gateway/room_asker.py
@@ -15,8 +15,8 @@
 import logbook
 import trio
 
-from lagoonlever.decisions.admission.room import RefusedWithReturn
-from lagoonlever.decisions.admission.room_line import PlaceInLine
+from lagoonlever.decisions.admission.capacity import RejectedWithRetryAfter
+from lagoonlever.decisions.admission.prompt_queue import QueuedPromptId
 from lagoonlever.decisions.fleet.queue_coordinators import (
     MAX_COORDINATORS_ASKED,
     queue_coordinators,
@@ -46,7 +46,7 @@
 """After its last question an asker that was paused takes no place: it may be another's."""
 TOLD_MOST = 8
 
-LineOutcome = RunOutcome | RefusedWithReturn
+LineOutcome = RunOutcome | RejectedWithRetryAfter
 
 
 @MECHANISMS.register(
@@ -195,7 +195,7 @@
         """Tell the keeper that the question is open no more, as its caller has gone."""
         service = question.ask.service
         if question.keeper == self._vm:
-            self._desk.left(PlaceInLine(vm=self._vm, number=number), service)
+            self._desk.left(QueuedPromptId(vm=self._vm, number=number), service)
             return
         state = self._beliefs.fellows.find(question.keeper)
         if state is not None:
