--- a/lagoonlever/decisions/fleet/peer_table.py
+++ b/lagoonlever/decisions/fleet/peer_table.py
@@ -25,8 +25,8 @@
 """How long a VM may go unheard before it counts as silent: three announcements. One that is lost
 or delayed by a slow event loop does not exclude the VM."""
 HUB_SILENCE_TIMEOUT_S = 2.0
-"""The same where hubs forward the announcements. It leaves the time to find another hub, and one
-interval for each hop."""
+"""How long a VM may go unheard where hubs report which VMs they hear. It leaves the time to find
+another hub, and one announcement interval for each hop."""
 MAX_BLIND_S = 1.0
 """How much longer the peers of a data centre count as present when no hub reports on it.
 
@@ -103,6 +103,8 @@
 
 @attrs.define(kw_only=True)
 class _Peer:
+    """The last known state of one peer, and when it was known."""
+
     state: PeerState
     known_at: float
     """When it was last heard, or first read from the register."""
@@ -196,6 +198,7 @@
                 self._names.pop(peer.state.life.nonce, None)
 
     def _put(self, peer: _Peer) -> None:
+        """Set the entry of a name, and remove the nonce of a former incarnation."""
         incarnation = peer.state.life
         former = self._peers.get(incarnation.name)
         if former is not None:
@@ -213,8 +216,12 @@
         return state.life < known.state.life and not self._is_silent(known, now)
 
     def _is_silent(self, peer: _Peer, now: float) -> bool:
+        """Check whether a peer was not heard for ``silent_s``.
+
+        Where no hub reports on its data centre, the limit is up to ``MAX_BLIND_S`` longer: the
+        silence then comes from the hubs, and the peer itself may be alive.
+        """
         blind_since = self.blind_since.get(peer.state.data_center)
         if blind_since is not None:
-            # Up to MAX_BLIND_S without reports on the data centre does not count as silence.
             now = max(blind_since, now - MAX_BLIND_S)
         return now - peer.known_at > self.silent_s
--- a/lagoonlever/decisions/membership/listing.py
+++ b/lagoonlever/decisions/membership/listing.py
@@ -69,6 +69,7 @@
 
 
 def _listed_targets(vms: Iterable[VmEntry]) -> Iterable[ListedTarget]:
+    """Yield the VMs that are targets: engines and application services."""
     for vm in vms:
         kind = _TARGET_KINDS.get(vm.role)
         if kind is None:
--- a/lagoonlever/decisions/membership/prober.py
+++ b/lagoonlever/decisions/membership/prober.py
@@ -106,6 +106,7 @@
             probe.nacks += 1
 
     def _start_period(self, now: float) -> None:
+        """Probe the next member if a period has passed since the last probe."""
         if self._next_probe_at is None:
             # A random first delay keeps VMs that start together from always probing in step.
             self._next_probe_at = now + self._settings.period_s * self._random.random()
@@ -129,6 +130,7 @@
         return watched[self._periods % len(watched)]
 
     def _probe(self, target: MemberRecord, now: float) -> None:
+        """Ping a member and await its answer; the timeouts grow with the local health factor."""
         sequence = self._registry.next_sequence()
         factor = self._roster.health.factor
         self._registry.probes[sequence] = Probe(
@@ -194,6 +196,7 @@
             self._outbox.send(target.peers, gossip, expected=target.incarnation)
 
     def _end_relays(self, now: float) -> None:
+        """Tell the requesters of relays that timed out that their target did not answer."""
         for relay in self._registry.take_ended_relays(now):
             nack = Nack(sequence=relay.sequence)
             self._outbox.send(relay.requester_address, nack, expected=relay.requester)
--- a/lagoonlever/decisions/membership/protocol.py
+++ b/lagoonlever/decisions/membership/protocol.py
@@ -231,17 +231,20 @@
         self._outbox.send(peer.peer_address, request, expected=peer.incarnation)
 
     def _reply_to_sync(self, request: SyncRequest, now: float) -> None:
+        """Send a peer the members of the buckets that differ, in messages of bounded size."""
         updates = [r.to_update(now) for r in self._roster.table.differing(request.buckets)]
         for start in range(0, len(updates), MAX_SYNC_UPDATES):
             reply = SyncReply(news=tuple(updates[start : start + MAX_SYNC_UPDATES]))
             self._outbox.send(request.own.peer_address, reply, expected=request.own.incarnation)
 
     def _flood(self, now: float) -> None:
+        """Send the queued changes to the neighbours, if the flood interval has passed."""
         gossip = self._roster.take_flood(now)
         if gossip is not None:
             self._gossip(gossip)
 
     def _gossip(self, gossip: Gossip) -> None:
+        """Send a message to all neighbours on the overlay."""
         for neighbour in self._roster.adjacent:
             self._outbox.send(neighbour.peers, gossip, expected=neighbour.incarnation)
 
--- a/lagoonlever/decisions/membership/rings.py
+++ b/lagoonlever/decisions/membership/rings.py
@@ -44,4 +44,5 @@
 
 @functools.lru_cache(maxsize=MAX_CACHED_POSITIONS)
 def _position(name: str, ring: int) -> int:
+    """Return the position of a name on a ring (0 to ``RING_POSITIONS`` - 1)."""
     return xxhash.xxh3_64_intdigest(name.encode(), seed=ring)
--- a/lagoonlever/decisions/membership/roster.py
+++ b/lagoonlever/decisions/membership/roster.py
@@ -85,6 +85,7 @@
 
     @property
     def _summary(self) -> _Summary:
+        """The derived values, computed again if the table has changed."""
         if self._cached_summary is None:
             others = tuple(r for r in self.table if r.live and r is not self.own)
             names = (record.incarnation.name for record in others)
@@ -256,6 +257,7 @@
         self.record_change(self.own)
 
     def _start_suspicion(self, record: MemberRecord, now: float) -> None:
+        """Set the time until which a suspected member can refute its suspicion."""
         suspicion_s = self._settings.suspicion_periods * self._settings.period_s
         record.suspect_until = now + suspicion_s * self.health.factor
         self._suspected.add(record.incarnation.name)
@@ -277,6 +279,7 @@
         return sum(known) / len(known) if known else 0.0
 
     def _next_load_name(self) -> str | None:
+        """Return the name of the next other member in turn, or None if there is none."""
         others = self.others
         if not others:
             return None
@@ -284,5 +287,6 @@
         return others[self._load_turn].incarnation.name
 
     def _records(self, names: Iterable[str]) -> list[MemberRecord]:
+        """Return the records of those names that are still known."""
         found = (self.table.find_by_name(name) for name in names)
         return [record for record in found if record is not None]
--- a/lagoonlever/decisions/membership/table.py
+++ b/lagoonlever/decisions/membership/table.py
@@ -167,6 +167,7 @@
         return Status.SUSPECT if without_suspicion and not verdict.leaving else verdict.status
 
     def _merge_load(self, update: MemberUpdate, now: float) -> None:
+        """Adopt the load of an update if it was reported later than the known one."""
         reported_at = now - update.load_age_s
         if update.load_age_s <= MAX_LOAD_AGE_S and reported_at > self.load_at:
             self.load = update.load_percent / 100
