--- a/lagoonlever/decisions/membership/protocol.py
+++ b/lagoonlever/decisions/membership/protocol.py
@@ -143,7 +143,7 @@
             return
         self._roster.own.load_at = now
         if paused_s > 0:
-            self._restart_timers(now)
+            self._distrust(now)
         self._prober.tick(now)
         self._roster.end_suspicions(now)
         self._contact_unreached(now)
@@ -177,7 +177,7 @@
             case Gossip() | SyncReply():
                 return
 
-    def _restart_timers(self, now: float) -> None:
+    def _distrust(self, now: float) -> None:
         """Discard the probes and restart the suspicions whose time passed during a pause.
 
         Guards against a VM that resumes and declares all others dead at once, since all its
@@ -199,12 +199,12 @@
         wait_s = self._settings.period_s if alone else self._settings.contact_interval_s
         self._next_contact_at = now + wait_s * self._random.uniform(0.5, 1.5)
         self._roster.table.expire_dead(now)
-        unreached = self._unreached_addresses()
+        unreached = self._strangers()
         count = min(len(unreached), CONTACTS_AT_ONCE if alone else 1)
         for address in self._random.sample(unreached, count):
             self._contact(address, now)
 
-    def _unreached_addresses(self) -> list[Address]:
+    def _strangers(self) -> list[Address]:
         """Return the known addresses at which no member is live, in a fixed order."""
         dead = {record.peers for record in self._roster.table if not record.live}
         listed = {vm.peers for vm in self._listed}
--- a/lagoonlever/decisions/membership/table.py
+++ b/lagoonlever/decisions/membership/table.py
@@ -132,7 +132,7 @@
         if verdict.leaving and not self.leaving:
             self.set_leaving()
             changed = True
-        status = self._status_to_merge(verdict)
+        status = self._status_to_take(verdict)
         if (verdict.version, status) > (self.version, self.status):
             self.set_status(version=verdict.version, status=status, now=now)
             changed = True
@@ -156,7 +156,7 @@
         self.version = version
         self._digest = None
 
-    def _status_to_merge(self, verdict: Verdict) -> Status:
+    def _status_to_take(self, verdict: Verdict) -> Status:
         """Return the status of a verdict, but a suspicion for the death of an alive member.
 
         Guards against false deaths after a network partition: when it heals, each side is told
--- a/lagoonlever/tests/membership_tests.py
+++ b/lagoonlever/tests/membership_tests.py
@@ -203,7 +203,7 @@
     """
     network = fleet(6)
     if not guarded:
-        monkeypatch.setattr(MembershipProtocol, "_unreached_addresses", lambda _: [])
+        monkeypatch.setattr(MembershipProtocol, "_strangers", lambda _: [])
     network.cut_off({0, 1, 2})
     network.run(60)
     assert states(network, 0)[node_name(5)] is MemberState.DEAD
@@ -225,7 +225,7 @@
     at once, the member list becomes empty and callers are rejected.
     """
     if not guarded:
-        monkeypatch.setattr(MemberRecord, "_status_to_merge", lambda _, verdict: verdict.status)
+        monkeypatch.setattr(MemberRecord, "_status_to_take", lambda _, verdict: verdict.status)
     network = fleet(9)
     network.cut_off({0, 1, 2, 3})
     network.run(60)
@@ -245,7 +245,7 @@
     passed, and the member's answer was lost meanwhile, so it floods a false death.
     """
     if not guarded:
-        monkeypatch.setattr(MembershipProtocol, "_restart_timers", lambda _self, _now: None)
+        monkeypatch.setattr(MembershipProtocol, "_distrust", lambda _self, _now: None)
     network = fleet(5)
     network.cut_off({0})
     for _ in range(100):
