--- a/lagoonlever/tests/admission_tests.py
+++ b/lagoonlever/tests/admission_tests.py
@@ -76,7 +76,7 @@
 
     incarnation: Incarnation
     admission: Admission
-    cut: bool = False
+    partitioned: bool = False
     waiting: dict[int, Submitted] = attrs.field(factory=dict)
     running: dict[int, Submitted] = attrs.field(factory=dict)
     ended: set[int] = attrs.field(factory=set)
@@ -94,9 +94,9 @@
 
     def poll(self, now: float) -> None:
         for decision in self.admission.poll(now):
-            asked = self.waiting.pop(decision.ticket)
+            submitted = self.waiting.pop(decision.ticket)
             if isinstance(decision, Granted):
-                self.running[decision.ticket] = asked
+                self.running[decision.ticket] = submitted
             else:
                 assert isinstance(decision, Refused)
                 assert decision.answer.retry_after_s is not None
@@ -162,9 +162,9 @@
     def advance(self, seconds: float, lose: int) -> None:
         self.run_for(seconds, lose=lose)
 
-    @rule(number=st.integers(0, VMS - 1), cut=st.booleans())
-    def cut(self, number: int, cut: bool) -> None:
-        self.vms[number].cut = cut
+    @rule(number=st.integers(0, VMS - 1), partitioned=st.booleans())
+    def partition(self, number: int, partitioned: bool) -> None:
+        self.vms[number].partitioned = partitioned
 
     @rule(large=st.sampled_from([0.5, 4.0, 16.0]), teams=st.booleans())
     def change_settings(self, large: float, teams: bool) -> None:
@@ -181,7 +181,7 @@
             assert vm.admission.waiting_count == len(vm.waiting)
             assert vm.admission.running_count == len(vm.running)
             assert vm.admission.book.own_running == len(vm.running)
-            queued = sum(not asked.resume for asked in vm.waiting.values())
+            queued = sum(not submitted.resume for submitted in vm.waiting.values())
             assert vm.admission.book.own_waiting("/") == queued
 
     @invariant()
@@ -196,8 +196,8 @@
     @invariant()
     def no_request_waits_past_its_deadline(self) -> None:
         for vm in self.vms:
-            for asked in vm.waiting.values():
-                assert asked.until > self.now - 2 * STEP_S
+            for submitted in vm.waiting.values():
+                assert submitted.until > self.now - 2 * STEP_S
 
     def run_for(self, seconds: float, *, lose: int = 0) -> None:
         for step in range(math.ceil(seconds / STEP_S)):
@@ -205,23 +205,23 @@
             for vm in self.vms:
                 vm.poll(self.now)
                 update = vm.admission.due_update(self.now)
-                if update is None or vm.cut or (lose and step % 4 < lose):
+                if update is None or vm.partitioned or (lose and step % 4 < lose):
                     continue
                 for other in self.vms:
-                    if other is not vm and not other.cut:
+                    if other is not vm and not other.partitioned:
                         other.admission.receive(vm.incarnation, update, self.now)
 
     def teardown(self) -> None:
         """Check that no slot stays idle while a request may run, and that all requests end."""
         for vm in self.vms:
-            vm.cut = False
+            vm.partitioned = False
         self.run_for(12.0)
         running = sum(len(vm.running) for vm in self.vms)
         for vm in self.vms:
             startable = [
-                asked
-                for asked in vm.waiting.values()
-                if vm.admission.book.has_room(vm.admission.leaf_of(asked.leaf))
+                submitted
+                for submitted in vm.waiting.values()
+                if vm.admission.book.has_room(vm.admission.leaf_of(submitted.leaf))
             ]
             assert running >= SLOTS or not startable, "a slot is idle while a request waits"
         for _ in range(25):
