--- a/lagoonlever/decisions/admission/call_queue.py
+++ b/lagoonlever/decisions/admission/call_queue.py
@@ -233,7 +233,11 @@
         seconds: float = 0.0,
         load: ToldLoad | None = None,
     ) -> None:
-        """Record the end of an attempt: its time at the runner, and the load report with it."""
+        """Record the end of an attempt, and release its slot.
+
+        ``seconds`` is the work time of an answered attempt at the runner, ``load`` the runner's
+        load report that came with the answer.
+        """
         self.withdraw(request_id)
         known = self._runners.get(runner)
         if known is None:
