--- a/lagoonlever/bench/call_places_model.py
+++ b/lagoonlever/bench/call_places_model.py
@@ -17,7 +17,7 @@
 from lagoonlever.decisions.admission.call_line import CallEnd, CallLine, LineAsk
 from lagoonlever.decisions.admission.room import RefusedWithReturn, RoomAsk, RoomGiven
 from lagoonlever.decisions.admission.runners import Runners
-from lagoonlever.decisions.targets.told_load import ToldLoad
+from lagoonlever.decisions.targets.told_load import ReportedLoad
 
 AIM_S = 0.34
 DEADLINE_S = 1.5
@@ -58,7 +58,7 @@
     running: int = 0
     queue: list[ModelCall] = attrs.field(factory=list)
     leaves_at: float = float("inf")
-    says: Callable[[ToldLoad], ToldLoad] = lambda load: load
+    says: Callable[[ReportedLoad], ReportedLoad] = lambda load: load
 
 
 @attrs.define(kw_only=True)
@@ -211,7 +211,7 @@
     def _end(self, call: ModelCall, name: str, runner: ModelRunner) -> None:
         runner.running -= 1
         call.ended = self._now + HOP_S
-        load = ToldLoad(
+        load = ReportedLoad(
             running=runner.running,
             waiting=len(runner.queue),
             slots=runner.slots,
@@ -225,7 +225,7 @@
         news = functools.partial(self._hear_end, call, name, seconds, load)
         self._at(self._now + 2 * HOP_S, news)
 
-    def _hear_end(self, call: ModelCall, name: str, seconds: float, load: ToldLoad) -> None:
+    def _hear_end(self, call: ModelCall, name: str, seconds: float, load: ReportedLoad) -> None:
         self.messages += 1
         if self._lost():
             return
--- a/lagoonlever/decisions/admission/call_line.py
+++ b/lagoonlever/decisions/admission/call_line.py
@@ -23,7 +23,7 @@
     WaitInLine,
 )
 from lagoonlever.decisions.admission.runners import UNSOUND_EXCESS
-from lagoonlever.decisions.targets.told_load import ToldLoad
+from lagoonlever.decisions.targets.told_load import ReportedLoad
 
 FIRST_WORK_S = 0.1
 """Of one call, until answers have come."""
@@ -207,7 +207,7 @@
         now: float,
         *,
         seconds: float = 0.0,
-        load: ToldLoad | None = None,
+        load: ReportedLoad | None = None,
     ) -> None:
         """Take the end of an attempt, its time at the runner, and the runner's word in it."""
         self.leave(request)
--- a/lagoonlever/decisions/admission/line_runner.py
+++ b/lagoonlever/decisions/admission/line_runner.py
@@ -13,7 +13,7 @@
     MOST_AVOID_S,
     STALLED_AFTER_LOSSES,
 )
-from lagoonlever.decisions.targets.told_load import USUAL, ToldLoad
+from lagoonlever.decisions.targets.told_load import USUAL, ReportedLoad
 
 SLOTS_UNTOLD = 2.0
 """Of a runner that has not said how many it has."""
@@ -50,7 +50,7 @@
     places: dict[str, Place] = attrs.field(factory=dict)
     failure_rate: float = 0.0
     """Of late: lost answers, and failures of the runner's own."""
-    _load: ToldLoad | None = None
+    _load: ReportedLoad | None = None
     _told_at: float = float("-inf")
     _others: float = 0.0
     """Calls beyond the places, by the runner's last word."""
@@ -118,7 +118,7 @@
         """Drop a place; gives it, or None where it is gone already."""
         return self.places.pop(request, None)
 
-    def told(self, load: ToldLoad, now: float, *, work_s: float) -> None:
+    def told(self, load: ReportedLoad, now: float, *, work_s: float) -> None:
         """Take the runner's own word, which came with the end of a call that is released."""
         count = load.running + load.waiting
         former = self._load
--- a/lagoonlever/decisions/targets/told_load.py
+++ b/lagoonlever/decisions/targets/told_load.py
@@ -9,7 +9,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class ToldLoad:
+class ReportedLoad:
     """How busy a target is by its own word; requests, and its own slots."""
 
     running: float
@@ -29,7 +29,7 @@
     """A load with the moment at which it was true, of one process of a target."""
 
     target: str
-    load: ToldLoad
+    load: ReportedLoad
     at: float
     """Seconds of the monotonic clock of the VM that has the word."""
     started_ms: int | None = None
--- a/lagoonlever/gateway/messages.py
+++ b/lagoonlever/gateway/messages.py
@@ -5,7 +5,7 @@
 import attrs
 
 from lagoonlever.decisions.streams.booked_runs import RunCopy
-from lagoonlever.decisions.targets.told_load import ToldLoad
+from lagoonlever.decisions.targets.told_load import ReportedLoad
 from lagoonlever.http.messages import Address
 
 
@@ -85,7 +85,7 @@
     """The target says that it has not run the request, and never will."""
     target_id: str | None
     """The process that answers, where it says so."""
-    load: ToldLoad | None
+    load: ReportedLoad | None
     idle_s: float | None
     """How long the target keeps the connection open, where it says so."""
     closes: bool
--- a/lagoonlever/peers/messages_calls.py
+++ b/lagoonlever/peers/messages_calls.py
@@ -16,7 +16,7 @@
     RoomOutcome,
     WaitInLine,
 )
-from lagoonlever.decisions.targets.told_load import ToldLoad
+from lagoonlever.decisions.targets.told_load import ReportedLoad
 from lagoonlever.http.messages import Address
 from lagoonlever.peers.messages import PEER
 
@@ -113,5 +113,5 @@
     end: CallEnd = CallEnd.UNUSED
     seconds: float = 0.0
     """At the runner."""
-    load: ToldLoad | None = None
+    load: ReportedLoad | None = None
     """The runner's own word."""
--- a/lagoonlever/peers/messages_gateway.py
+++ b/lagoonlever/peers/messages_gateway.py
@@ -14,7 +14,7 @@
 from lagoonlever.decisions.streams.booked_runs import BookedRun, RunCopy
 from lagoonlever.decisions.targets.listed_target import ListedTarget, TargetChange
 from lagoonlever.decisions.targets.load_view import MOMENT_S
-from lagoonlever.decisions.targets.told_load import LoadWord, ToldLoad
+from lagoonlever.decisions.targets.told_load import LoadWord, ReportedLoad
 from lagoonlever.http.messages import Address
 from lagoonlever.peers.messages import PEER
 from lagoonlever.revisions import NOWHERE, Revision
@@ -96,7 +96,7 @@
 
     def word(self, run: BookedRun, now: float) -> LoadWord:
         """Give the word of a run's engine, by the clock of the VM that hears of it."""
-        load = ToldLoad(
+        load = ReportedLoad(
             running=float(self.running),
             waiting=float(self.waiting),
             slots=float(self.slots),
--- a/lagoonlever/platform/headers.py
+++ b/lagoonlever/platform/headers.py
@@ -5,7 +5,7 @@
 import math
 import sys
 
-from lagoonlever.decisions.targets.told_load import ToldLoad
+from lagoonlever.decisions.targets.told_load import ReportedLoad
 from lagoonlever.exceptions import RequestRefused
 from lagoonlever.gateway.messages import (
     AnswerHead,
@@ -220,7 +220,7 @@
     return tuple(parts)
 
 
-def _load(text: str | None, unreadable: list[str]) -> ToldLoad | None:
+def _load(text: str | None, unreadable: list[str]) -> ReportedLoad | None:
     """Read three figures or more: running, waiting, slots, and the pace of the machine.
 
     Figures beyond the known ones say nothing; an odd one makes the whole field say nothing.
@@ -235,7 +235,7 @@
         return None
     running, waiting, slots = known[:LEAST_FIGURES]
     slowness = None if pace is None else pace / USUAL_PACE
-    return ToldLoad(running=running, waiting=waiting, slots=slots, slowness=slowness)
+    return ReportedLoad(running=running, waiting=waiting, slots=slots, slowness=slowness)
 
 
 def _figure(text: str) -> float | None:
--- a/lagoonlever/tests/call_line_machine_tests.py
+++ b/lagoonlever/tests/call_line_machine_tests.py
@@ -12,7 +12,7 @@
     RoomGiven,
     WaitInLine,
 )
-from lagoonlever.decisions.targets.told_load import ToldLoad
+from lagoonlever.decisions.targets.told_load import ReportedLoad
 
 RUNNERS = ("a", "b", "c")
 SLOTS = 2.0
@@ -37,7 +37,7 @@
     def told(self, slowness: list[float]) -> None:
         self.line.retain(dict.fromkeys(RUNNERS, "dc"))
         for name, pace in zip(RUNNERS, slowness, strict=True):
-            load = ToldLoad(running=0, waiting=0, slots=SLOTS, slowness=pace)
+            load = ReportedLoad(running=0, waiting=0, slots=SLOTS, slowness=pace)
             self.line.ended("-", name, CallEnd.ANSWERED, self.now, seconds=0.07, load=load)
 
     @rule(rank=st.integers(0, 2), repeatable=st.booleans(), aim_s=st.sampled_from([AIM_S, 0.1]))
@@ -75,7 +75,7 @@
         request = data.draw(st.sampled_from(sorted(self.given)))
         runner = self.given.pop(request)
         self.over.add(request)
-        load = ToldLoad(running=running, waiting=0, slots=SLOTS, slowness=slowness)
+        load = ReportedLoad(running=running, waiting=0, slots=SLOTS, slowness=slowness)
         self.line.ended(request, runner, end, self.now, seconds=0.07, load=load)
         self.tick()
 
--- a/lagoonlever/tests/call_line_tests.py
+++ b/lagoonlever/tests/call_line_tests.py
@@ -17,7 +17,7 @@
     RoomOutcome,
     WaitInLine,
 )
-from lagoonlever.decisions.targets.told_load import ToldLoad
+from lagoonlever.decisions.targets.told_load import ReportedLoad
 
 AIM_S = 0.25
 FULL = 2 * (2 + QUEUED)
@@ -46,8 +46,8 @@
     return LineAsk(room=room, data_center=data_center, avoid=avoid)
 
 
-def told(slowness: float = 1.0, *, running: float = 0, slots: float = 2) -> ToldLoad:
-    return ToldLoad(running=running, waiting=0, slots=slots, slowness=slowness)
+def told(slowness: float = 1.0, *, running: float = 0, slots: float = 2) -> ReportedLoad:
+    return ReportedLoad(running=running, waiting=0, slots=slots, slowness=slowness)
 
 
 def line_of(**slowness: float) -> CallLine:
--- a/lagoonlever/tests/call_places_tests.py
+++ b/lagoonlever/tests/call_places_tests.py
@@ -16,7 +16,7 @@
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS
 from lagoonlever.decisions.targets.call_desks import RUNNERS_A_DESK, desks_of, groups_of
 from lagoonlever.decisions.targets.listed_target import ListedTarget
-from lagoonlever.decisions.targets.told_load import LoadWord, ToldLoad
+from lagoonlever.decisions.targets.told_load import LoadWord, ReportedLoad
 from lagoonlever.gateway.accepted import Accepted
 from lagoonlever.gateway.call_desk import CallDesk, Reply
 from lagoonlever.gateway.call_places import ANSWER_S, CallPlace, CallPlaces, PlaceOutcome
@@ -74,11 +74,11 @@
         return await self.places.take(self.accepted())
 
     def answered(self, place: CallPlace, *, running: float = 0.0) -> None:
-        load = ToldLoad(running=running, waiting=0, slots=SLOTS, slowness=1.0)
+        load = ReportedLoad(running=running, waiting=0, slots=SLOTS, slowness=1.0)
         self.places.ended(place, answer(load), seconds=WORK_S)
 
 
-def answer(load: ToldLoad) -> Answered:
+def answer(load: ReportedLoad) -> Answered:
     head = AnswerHead(
         status=200,
         request_id="r",
@@ -339,7 +339,7 @@
         (vm,) = fleet.vms.values()
         made = calling(fleet, vm)
         for slowness, expected in ((None, False), (1.0, True)):
-            load = ToldLoad(running=0, waiting=0, slots=2, slowness=slowness)
+            load = ReportedLoad(running=0, waiting=0, slots=2, slowness=slowness)
             await trio.sleep(0.1)
             vm.beliefs.loads.told(LoadWord(target="r-0", load=load, at=trio.current_time()))
             assert made.places.serves(SERVICE) is expected
@@ -356,7 +356,7 @@
         start_many(fleet, 1)
         (vm,) = fleet.vms.values()
         made = calling(fleet, vm)
-        load = ToldLoad(running=0, waiting=0, slots=2, slowness=1.0)
+        load = ReportedLoad(running=0, waiting=0, slots=2, slowness=1.0)
         vm.beliefs.loads.told(LoadWord(target="r-0", load=load, at=trio.current_time()))
         assert not made.places.serves(SERVICE)
 
--- a/lagoonlever/tests/load_view_tests.py
+++ b/lagoonlever/tests/load_view_tests.py
@@ -8,7 +8,7 @@
 
 from lagoonlever.decisions.targets.load_estimate import LoadSource
 from lagoonlever.decisions.targets.load_view import KEPT_S, MOMENT_S, SentTicket, TargetLoads
-from lagoonlever.decisions.targets.told_load import USUAL, LoadWord, ToldLoad
+from lagoonlever.decisions.targets.told_load import USUAL, LoadWord, ReportedLoad
 
 SLOTS = 6.0
 
@@ -16,7 +16,7 @@
 def word(
     *, running: float = 0.0, waiting: float = 0.0, at: float = 0.0, slowness: float | None = None
 ) -> LoadWord:
-    load = ToldLoad(running=running, waiting=waiting, slots=SLOTS, slowness=slowness)
+    load = ReportedLoad(running=running, waiting=waiting, slots=SLOTS, slowness=slowness)
     return LoadWord(target="t", load=load, at=at)
 
 
--- a/lagoonlever/tests/platform_headers_tests.py
+++ b/lagoonlever/tests/platform_headers_tests.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from lagoonlever.decisions.targets.told_load import ToldLoad
+from lagoonlever.decisions.targets.told_load import ReportedLoad
 from lagoonlever.http.messages import Headers
 from lagoonlever.platform.headers import LOAD, read_answer
 
@@ -18,14 +18,14 @@
 @pytest.mark.parametrize(
     ("text", "load"),
     [
-        ("3,0,8", ToldLoad(running=3, waiting=0, slots=8)),
-        ("3,0,8,100", ToldLoad(running=3, waiting=0, slots=8, slowness=1.0)),
-        ("3, 2, 8, 250", ToldLoad(running=3, waiting=2, slots=8, slowness=2.5)),
-        ("1.5,0.25,6,87.5", ToldLoad(running=1.5, waiting=0.25, slots=6, slowness=0.875)),
-        ("3,0,8,100,7,new", ToldLoad(running=3, waiting=0, slots=8, slowness=1.0)),
+        ("3,0,8", ReportedLoad(running=3, waiting=0, slots=8)),
+        ("3,0,8,100", ReportedLoad(running=3, waiting=0, slots=8, slowness=1.0)),
+        ("3, 2, 8, 250", ReportedLoad(running=3, waiting=2, slots=8, slowness=2.5)),
+        ("1.5,0.25,6,87.5", ReportedLoad(running=1.5, waiting=0.25, slots=6, slowness=0.875)),
+        ("3,0,8,100,7,new", ReportedLoad(running=3, waiting=0, slots=8, slowness=1.0)),
     ],
 )
-def test_a_load_of_three_figures_or_more_is_read(text: str, load: ToldLoad):
+def test_a_load_of_three_figures_or_more_is_read(text: str, load: ReportedLoad):
     head = _read(text)
     assert head.load == load
     assert head.unreadable == ()
--- a/lagoonlever/tests/uneven_engines_tests.py
+++ b/lagoonlever/tests/uneven_engines_tests.py
@@ -21,7 +21,7 @@
 from lagoonlever.decisions.targets.listed_target import ListedTarget
 from lagoonlever.decisions.targets.load_estimate import LoadSource
 from lagoonlever.decisions.targets.load_view import TargetLoads
-from lagoonlever.decisions.targets.told_load import LoadWord, ToldLoad
+from lagoonlever.decisions.targets.told_load import LoadWord, ReportedLoad
 from lagoonlever.http.messages import Address
 
 VMS, ENGINES = 60, 45
@@ -130,7 +130,7 @@
 
     def _flow(self, vm: int, run: BookedRun) -> None:
         slowness = self._slowness(run.engine, self._now) if self.tells else None
-        load = ToldLoad(running=1.0, waiting=0.0, slots=16.0, slowness=slowness)
+        load = ReportedLoad(running=1.0, waiting=0.0, slots=16.0, slowness=slowness)
         word = LoadWord(target=run.engine, load=load, at=self._now)
 
         def heard(book: EngineBook) -> None:
@@ -188,7 +188,7 @@
     """Give a book that has heard of engines at 0 s, each so slow then, and of their paces."""
     made = EngineBook(rng=random.Random(seed), data_center="a")
     for engine, times in slowness.items():
-        load = ToldLoad(running=0.0, waiting=0.0, slots=16.0, slowness=times)
+        load = ReportedLoad(running=0.0, waiting=0.0, slots=16.0, slowness=times)
         made.loads.passed_on(LoadWord(target=engine, load=load, at=0.0))
     return made
 
