--- a/lagoonlever/decisions/targets/load_view.py
+++ b/lagoonlever/decisions/targets/load_view.py
@@ -16,7 +16,7 @@
 import attrs
 
 from lagoonlever.decisions.targets.load_estimate import LoadEstimate, LoadSource
-from lagoonlever.decisions.targets.told_load import USUAL, LoadWord
+from lagoonlever.decisions.targets.told_load import USUAL, LoadReport
 
 MOMENT_S = 0.6
 """How long a machine that others share is slow at a time."""
@@ -43,7 +43,7 @@
     sent_at: float
     ended_at: float
 
-    def is_within(self, word: LoadWord) -> bool:
+    def is_within(self, word: LoadReport) -> bool:
         """Tell whether a word counts the request, which has ended since."""
         return self.sent_at <= word.at < self.ended_at
 
@@ -52,7 +52,7 @@
 class _TargetState:
     """Of one process of a target."""
 
-    word: LoadWord | None = None
+    word: LoadReport | None = None
     source: LoadSource = LoadSource.NONE
     tells_slowness: bool = False
     open: dict[int, float] = attrs.field(factory=dict)
@@ -60,7 +60,7 @@
     ended: list[_Ended] = attrs.field(factory=list)
     drift: float = PRIOR_DRIFT
 
-    def count_since(self, word: LoadWord) -> float:
+    def count_since(self, word: LoadReport) -> float:
         """Give how many requests there are by a word, and by what this VM did since."""
         sent = sum(at > word.at for at in self.open.values())
         gone = sum(each.is_within(word) for each in self.ended)
@@ -75,7 +75,7 @@
             if now - each.ended_at <= KEPT_S or (word is not None and each.is_within(word))
         ]
 
-    def learn_drift(self, word: LoadWord) -> None:
+    def learn_drift(self, word: LoadReport) -> None:
         """Learn from a new word by how much the former one was wrong by now."""
         if self.word is None or word.at - self.word.at < LEAST_AGE_S:
             return
@@ -98,7 +98,7 @@
         """Every target that is known, in order."""
         return tuple(sorted(self._states))
 
-    def told(self, word: LoadWord, *, asked_at: float | None = None) -> bool:
+    def told(self, word: LoadReport, *, asked_at: float | None = None) -> bool:
         """Take a target's own word, given to a request of ``asked_at``; gives if it counts.
 
         A request of before the target started again was answered by the former process.
@@ -106,7 +106,7 @@
         asked = word.at if asked_at is None else asked_at
         return self._take(word, LoadSource.ANSWER, asked_at=asked)
 
-    def passed_on(self, word: LoadWord) -> bool:
+    def passed_on(self, word: LoadReport) -> bool:
         """Take a target's word that another VM passes on; gives whether it counts."""
         return self._take(word, LoadSource.NEWS, asked_at=word.at)
 
@@ -138,7 +138,7 @@
         for target in self._born_at.keys() - targets:
             del self._born_at[target]
 
-    def word(self, target: str) -> LoadWord | None:
+    def word(self, target: str) -> LoadReport | None:
         """Give the newest word of a target's present process."""
         state = self._states.get(target)
         return state.word if state else None
@@ -182,7 +182,7 @@
             source=state.source,
         )
 
-    def _take(self, word: LoadWord, source: LoadSource, *, asked_at: float) -> bool:
+    def _take(self, word: LoadReport, source: LoadSource, *, asked_at: float) -> bool:
         if asked_at < self._born_at.get(word.target, float("-inf")):
             return False
         state = self._state(word.target)
--- a/lagoonlever/decisions/targets/told_load.py
+++ b/lagoonlever/decisions/targets/told_load.py
@@ -25,7 +25,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class LoadWord:
+class LoadReport:
     """A load with the moment at which it was true, of one process of a target."""
 
     target: str
--- a/lagoonlever/gateway/target_words.py
+++ b/lagoonlever/gateway/target_words.py
@@ -13,7 +13,7 @@
 from lagoonlever.decisions.targets.listed_target import ListedTarget
 from lagoonlever.decisions.targets.load_view import SentTicket
 from lagoonlever.decisions.targets.rests import RestingTargets
-from lagoonlever.decisions.targets.told_load import LoadWord
+from lagoonlever.decisions.targets.told_load import LoadReport
 from lagoonlever.gateway import events
 from lagoonlever.gateway.beliefs import Beliefs
 from lagoonlever.gateway.hub_spread import HubSpread
@@ -59,7 +59,7 @@
             return
         self._limits.heard(target, head, sent_at=sent_at)
         if head.load is not None:
-            word = LoadWord(
+            word = LoadReport(
                 target=target,
                 load=head.load,
                 at=self._timers.now,
--- a/lagoonlever/peers/messages_gateway.py
+++ b/lagoonlever/peers/messages_gateway.py
@@ -14,7 +14,7 @@
 from lagoonlever.decisions.streams.booked_runs import BookedRun, RunCopy
 from lagoonlever.decisions.targets.listed_target import ListedTarget, TargetChange
 from lagoonlever.decisions.targets.load_view import MOMENT_S
-from lagoonlever.decisions.targets.told_load import LoadWord, ReportedLoad
+from lagoonlever.decisions.targets.told_load import LoadReport, ReportedLoad
 from lagoonlever.http.messages import Address
 from lagoonlever.peers.messages import PEER
 from lagoonlever.revisions import NOWHERE, Revision
@@ -82,7 +82,7 @@
     age_ms: int
 
     @classmethod
-    def of(cls, word: LoadWord | None, now: float) -> EngineWord | None:
+    def of(cls, word: LoadReport | None, now: float) -> EngineWord | None:
         """Give what is passed on of a word: one that tells slowness, while it is fresh."""
         if word is None or word.load.slowness is None or now - word.at > MOMENT_S:
             return None
@@ -94,7 +94,7 @@
             age_ms=round(1000 * max(0.0, now - word.at)),
         )
 
-    def word(self, run: BookedRun, now: float) -> LoadWord:
+    def word(self, run: BookedRun, now: float) -> LoadReport:
         """Give the word of a run's engine, by the clock of the VM that hears of it."""
         load = ReportedLoad(
             running=float(self.running),
@@ -102,7 +102,7 @@
             slots=float(self.slots),
             slowness=self.slowness_pct / 100,
         )
-        return LoadWord(
+        return LoadReport(
             target=run.engine,
             load=load,
             at=now - max(0, self.age_ms) / 1000,
--- a/lagoonlever/tests/call_places_tests.py
+++ b/lagoonlever/tests/call_places_tests.py
@@ -16,7 +16,7 @@
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS
 from lagoonlever.decisions.targets.call_desks import RUNNERS_A_DESK, desks_of, groups_of
 from lagoonlever.decisions.targets.listed_target import ListedTarget
-from lagoonlever.decisions.targets.told_load import LoadWord, ReportedLoad
+from lagoonlever.decisions.targets.told_load import LoadReport, ReportedLoad
 from lagoonlever.gateway.accepted import Accepted
 from lagoonlever.gateway.call_desk import CallDesk, Reply
 from lagoonlever.gateway.call_places import ANSWER_S, CallPlace, CallPlaces, PlaceOutcome
@@ -341,7 +341,7 @@
         for slowness, expected in ((None, False), (1.0, True)):
             load = ReportedLoad(running=0, waiting=0, slots=2, slowness=slowness)
             await trio.sleep(0.1)
-            vm.beliefs.loads.told(LoadWord(target="r-0", load=load, at=trio.current_time()))
+            vm.beliefs.loads.told(LoadReport(target="r-0", load=load, at=trio.current_time()))
             assert made.places.serves(SERVICE) is expected
 
     run_fleet(story)
@@ -357,7 +357,7 @@
         (vm,) = fleet.vms.values()
         made = calling(fleet, vm)
         load = ReportedLoad(running=0, waiting=0, slots=2, slowness=1.0)
-        vm.beliefs.loads.told(LoadWord(target="r-0", load=load, at=trio.current_time()))
+        vm.beliefs.loads.told(LoadReport(target="r-0", load=load, at=trio.current_time()))
         assert not made.places.serves(SERVICE)
 
     run_fleet(story)
--- a/lagoonlever/tests/load_view_tests.py
+++ b/lagoonlever/tests/load_view_tests.py
@@ -8,16 +8,16 @@
 
 from lagoonlever.decisions.targets.load_estimate import LoadSource
 from lagoonlever.decisions.targets.load_view import KEPT_S, MOMENT_S, SentTicket, TargetLoads
-from lagoonlever.decisions.targets.told_load import USUAL, LoadWord, ReportedLoad
+from lagoonlever.decisions.targets.told_load import USUAL, LoadReport, ReportedLoad
 
 SLOTS = 6.0
 
 
 def word(
     *, running: float = 0.0, waiting: float = 0.0, at: float = 0.0, slowness: float | None = None
-) -> LoadWord:
+) -> LoadReport:
     load = ReportedLoad(running=running, waiting=waiting, slots=SLOTS, slowness=slowness)
-    return LoadWord(target="t", load=load, at=at)
+    return LoadReport(target="t", load=load, at=at)
 
 
 def test_a_target_of_which_nobody_has_heard_has_what_this_vm_sent() -> None:
@@ -119,7 +119,7 @@
         self.over: list[SentTicket] = []
         self.ended: list[tuple[float, float]] = []
         """When each request of this life was sent and ended."""
-        self.told: LoadWord | None = None
+        self.told: LoadReport | None = None
 
     @rule(seconds=st.floats(0.001, 5.0))
     def advance(self, seconds: float) -> None:
--- a/lagoonlever/tests/load_words_tests.py
+++ b/lagoonlever/tests/load_words_tests.py
@@ -7,7 +7,7 @@
 
 from lagoonlever.decisions.targets.load_estimate import LoadEstimate, LoadSource
 from lagoonlever.decisions.targets.load_view import MOMENT_S
-from lagoonlever.decisions.targets.told_load import LoadWord, ReportedLoad
+from lagoonlever.decisions.targets.told_load import LoadReport, ReportedLoad
 from lagoonlever.fakes.platform_runner import Conduct
 from lagoonlever.gateway.beliefs import Beliefs
 from lagoonlever.peers.messages import PEER
@@ -104,7 +104,7 @@
 def test_news_of_a_load_costs_no_message_and_few_bytes() -> None:
     """Guards against news that eat up what VMs may tell each other: 3 kB a second."""
     load = ReportedLoad(running=4.0, waiting=1.0, slots=16.0, slowness=2.5)
-    word = LoadWord(target="e", load=load, at=1.0)
+    word = LoadReport(target="e", load=load, at=1.0)
     plain = RunFlows(request="r")
     full = RunFlows(request="r", load=EngineWord.of(word, 1.2))
     assert len(PEER.encode(full)) - len(PEER.encode(plain)) <= 16
@@ -114,6 +114,6 @@
 def test_only_fresh_words_that_tell_slowness_are_passed_on() -> None:
     silent = ReportedLoad(running=4.0, waiting=1.0, slots=16.0)
     told = attrs.evolve(silent, slowness=2.5)
-    assert EngineWord.of(LoadWord(target="e", load=silent, at=1.0), 1.0) is None
-    assert EngineWord.of(LoadWord(target="e", load=told, at=1.0), 1.0 + 2 * MOMENT_S) is None
+    assert EngineWord.of(LoadReport(target="e", load=silent, at=1.0), 1.0) is None
+    assert EngineWord.of(LoadReport(target="e", load=told, at=1.0), 1.0 + 2 * MOMENT_S) is None
     assert EngineWord.of(None, 1.0) is None
--- a/lagoonlever/tests/uneven_engines_tests.py
+++ b/lagoonlever/tests/uneven_engines_tests.py
@@ -21,7 +21,7 @@
 from lagoonlever.decisions.targets.listed_target import ListedTarget
 from lagoonlever.decisions.targets.load_estimate import LoadSource
 from lagoonlever.decisions.targets.load_view import TargetLoads
-from lagoonlever.decisions.targets.told_load import LoadWord, ReportedLoad
+from lagoonlever.decisions.targets.told_load import LoadReport, ReportedLoad
 from lagoonlever.http.messages import Address
 
 VMS, ENGINES = 60, 45
@@ -131,7 +131,7 @@
     def _flow(self, vm: int, run: BookedRun) -> None:
         slowness = self._slowness(run.engine, self._now) if self.tells else None
         load = ReportedLoad(running=1.0, waiting=0.0, slots=16.0, slowness=slowness)
-        word = LoadWord(target=run.engine, load=load, at=self._now)
+        word = LoadReport(target=run.engine, load=load, at=self._now)
 
         def heard(book: EngineBook) -> None:
             book.flows(run.request, self._now)
@@ -189,7 +189,7 @@
     made = EngineBook(rng=random.Random(seed), data_center="a")
     for engine, times in slowness.items():
         load = ReportedLoad(running=0.0, waiting=0.0, slots=16.0, slowness=times)
-        made.loads.passed_on(LoadWord(target=engine, load=load, at=0.0))
+        made.loads.passed_on(LoadReport(target=engine, load=load, at=0.0))
     return made
 
 
--- a/lagoonlever/tests/uneven_placing_tests.py
+++ b/lagoonlever/tests/uneven_placing_tests.py
@@ -10,7 +10,7 @@
 from lagoonlever.decisions.engines.uneven_engines import EngineSeen, UnevenChoice
 from lagoonlever.decisions.streams.run_placement import Placed
 from lagoonlever.decisions.targets.load_estimate import LoadSource
-from lagoonlever.decisions.targets.told_load import LoadWord, ReportedLoad
+from lagoonlever.decisions.targets.told_load import LoadReport, ReportedLoad
 from lagoonlever.gateway.beliefs import Beliefs
 from lagoonlever.peers.messages import PEER
 from lagoonlever.peers.messages_placement import PlacementTold
@@ -20,7 +20,7 @@
 
 def learn(beliefs: Beliefs, engine: str, pace: float, now: float) -> None:
     load = ReportedLoad(running=0.0, waiting=0.0, slots=16.0, slowness=1.0)
-    beliefs.loads.told(LoadWord(target=engine, load=load, at=now))
+    beliefs.loads.told(LoadReport(target=engine, load=load, at=now))
     for _ in range(5):
         beliefs.book.paces.read(SERVICE, engine, tokens=PROMPT, seconds=pace, now=now)
 
