--- a/lagoonlever/bench/call_places_model.py
+++ b/lagoonlever/bench/call_places_model.py
@@ -17,7 +17,7 @@
 from lagoonlever.decisions.admission.call_line import CallEnd, CallLine, LineAsk
 from lagoonlever.decisions.admission.room import RefusedWithReturn, RoomAsk, RoomGiven
 from lagoonlever.decisions.admission.runners import Runners
-from lagoonlever.decisions.targets.told_load import ReportedLoad
+from lagoonlever.decisions.targets.reported_load import ReportedLoad
 
 AIM_S = 0.34
 DEADLINE_S = 1.5
--- a/lagoonlever/decisions/admission/call_line.py
+++ b/lagoonlever/decisions/admission/call_line.py
@@ -23,7 +23,7 @@
     WaitInLine,
 )
 from lagoonlever.decisions.admission.runners import UNSOUND_EXCESS
-from lagoonlever.decisions.targets.told_load import ReportedLoad
+from lagoonlever.decisions.targets.reported_load import ReportedLoad
 
 FIRST_WORK_S = 0.1
 """Of one call, until answers have come."""
--- a/lagoonlever/decisions/admission/line_runner.py
+++ b/lagoonlever/decisions/admission/line_runner.py
@@ -13,7 +13,7 @@
     MOST_AVOID_S,
     STALLED_AFTER_LOSSES,
 )
-from lagoonlever.decisions.targets.told_load import USUAL, ReportedLoad
+from lagoonlever.decisions.targets.reported_load import USUAL, ReportedLoad
 
 SLOTS_UNTOLD = 2.0
 """Of a runner that has not said how many it has."""
--- a/lagoonlever/decisions/targets/load_estimate.py
+++ b/lagoonlever/decisions/targets/load_estimate.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from lagoonlever.decisions.targets.told_load import USUAL
+from lagoonlever.decisions.targets.reported_load import USUAL
 
 
 class LoadSource(enum.Enum):
--- a/lagoonlever/decisions/targets/load_view.py
+++ b/lagoonlever/decisions/targets/load_view.py
@@ -16,7 +16,7 @@
 import attrs
 
 from lagoonlever.decisions.targets.load_estimate import LoadEstimate, LoadSource
-from lagoonlever.decisions.targets.told_load import USUAL, LoadReport
+from lagoonlever.decisions.targets.reported_load import USUAL, LoadReport
 
 MOMENT_S = 0.6
 """How long a machine that others share is slow at a time."""
--- a/lagoonlever/gateway/messages.py
+++ b/lagoonlever/gateway/messages.py
@@ -5,7 +5,7 @@
 import attrs
 
 from lagoonlever.decisions.streams.booked_runs import RunCopy
-from lagoonlever.decisions.targets.told_load import ReportedLoad
+from lagoonlever.decisions.targets.reported_load import ReportedLoad
 from lagoonlever.http.messages import Address
 
 
--- a/lagoonlever/peers/messages_calls.py
+++ b/lagoonlever/peers/messages_calls.py
@@ -16,7 +16,7 @@
     RoomOutcome,
     WaitInLine,
 )
-from lagoonlever.decisions.targets.told_load import ReportedLoad
+from lagoonlever.decisions.targets.reported_load import ReportedLoad
 from lagoonlever.http.messages import Address
 from lagoonlever.peers.messages import PEER
 
--- a/lagoonlever/peers/messages_gateway.py
+++ b/lagoonlever/peers/messages_gateway.py
@@ -14,7 +14,7 @@
 from lagoonlever.decisions.streams.booked_runs import BookedRun, RunCopy
 from lagoonlever.decisions.targets.listed_target import ListedTarget, TargetChange
 from lagoonlever.decisions.targets.load_view import MOMENT_S
-from lagoonlever.decisions.targets.told_load import LoadReport, ReportedLoad
+from lagoonlever.decisions.targets.reported_load import LoadReport, ReportedLoad
 from lagoonlever.http.messages import Address
 from lagoonlever.peers.messages import PEER
 from lagoonlever.revisions import NOWHERE, Revision
--- a/lagoonlever/platform/headers.py
+++ b/lagoonlever/platform/headers.py
@@ -5,7 +5,7 @@
 import math
 import sys
 
-from lagoonlever.decisions.targets.told_load import ReportedLoad
+from lagoonlever.decisions.targets.reported_load import ReportedLoad
 from lagoonlever.exceptions import RequestRefused
 from lagoonlever.gateway.messages import (
     AnswerHead,
--- a/lagoonlever/tests/call_line_machine_tests.py
+++ b/lagoonlever/tests/call_line_machine_tests.py
@@ -12,7 +12,7 @@
     RoomGiven,
     WaitInLine,
 )
-from lagoonlever.decisions.targets.told_load import ReportedLoad
+from lagoonlever.decisions.targets.reported_load import ReportedLoad
 
 RUNNERS = ("a", "b", "c")
 SLOTS = 2.0
--- a/lagoonlever/tests/call_line_tests.py
+++ b/lagoonlever/tests/call_line_tests.py
@@ -17,7 +17,7 @@
     RoomOutcome,
     WaitInLine,
 )
-from lagoonlever.decisions.targets.told_load import ReportedLoad
+from lagoonlever.decisions.targets.reported_load import ReportedLoad
 
 AIM_S = 0.25
 FULL = 2 * (2 + QUEUED)
--- a/lagoonlever/tests/call_places_tests.py
+++ b/lagoonlever/tests/call_places_tests.py
@@ -16,7 +16,7 @@
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS
 from lagoonlever.decisions.targets.call_desks import RUNNERS_A_DESK, desks_of, groups_of
 from lagoonlever.decisions.targets.listed_target import ListedTarget
-from lagoonlever.decisions.targets.told_load import LoadReport, ReportedLoad
+from lagoonlever.decisions.targets.reported_load import LoadReport, ReportedLoad
 from lagoonlever.gateway.accepted import Accepted
 from lagoonlever.gateway.call_desk import CallDesk, Reply
 from lagoonlever.gateway.call_places import ANSWER_S, CallPlace, CallPlaces, PlaceOutcome
--- a/lagoonlever/tests/load_view_tests.py
+++ b/lagoonlever/tests/load_view_tests.py
@@ -8,7 +8,7 @@
 
 from lagoonlever.decisions.targets.load_estimate import LoadSource
 from lagoonlever.decisions.targets.load_view import KEPT_S, MOMENT_S, SentTicket, TargetLoads
-from lagoonlever.decisions.targets.told_load import USUAL, LoadReport, ReportedLoad
+from lagoonlever.decisions.targets.reported_load import USUAL, LoadReport, ReportedLoad
 
 SLOTS = 6.0
 
--- a/lagoonlever/tests/load_words_tests.py
+++ b/lagoonlever/tests/load_words_tests.py
@@ -7,7 +7,7 @@
 
 from lagoonlever.decisions.targets.load_estimate import LoadEstimate, LoadSource
 from lagoonlever.decisions.targets.load_view import MOMENT_S
-from lagoonlever.decisions.targets.told_load import LoadReport, ReportedLoad
+from lagoonlever.decisions.targets.reported_load import LoadReport, ReportedLoad
 from lagoonlever.fakes.platform_runner import Conduct
 from lagoonlever.gateway.beliefs import Beliefs
 from lagoonlever.peers.messages import PEER
--- a/lagoonlever/tests/platform_headers_tests.py
+++ b/lagoonlever/tests/platform_headers_tests.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from lagoonlever.decisions.targets.told_load import ReportedLoad
+from lagoonlever.decisions.targets.reported_load import ReportedLoad
 from lagoonlever.http.messages import Headers
 from lagoonlever.platform.headers import LOAD, read_answer
 
--- a/lagoonlever/tests/uneven_engines_tests.py
+++ b/lagoonlever/tests/uneven_engines_tests.py
@@ -21,7 +21,7 @@
 from lagoonlever.decisions.targets.listed_target import ListedTarget
 from lagoonlever.decisions.targets.load_estimate import LoadSource
 from lagoonlever.decisions.targets.load_view import TargetLoads
-from lagoonlever.decisions.targets.told_load import LoadReport, ReportedLoad
+from lagoonlever.decisions.targets.reported_load import LoadReport, ReportedLoad
 from lagoonlever.http.messages import Address
 
 VMS, ENGINES = 60, 45
--- a/lagoonlever/tests/uneven_placing_tests.py
+++ b/lagoonlever/tests/uneven_placing_tests.py
@@ -10,7 +10,7 @@
 from lagoonlever.decisions.engines.uneven_engines import EngineSeen, UnevenChoice
 from lagoonlever.decisions.streams.run_placement import Placed
 from lagoonlever.decisions.targets.load_estimate import LoadSource
-from lagoonlever.decisions.targets.told_load import LoadReport, ReportedLoad
+from lagoonlever.decisions.targets.reported_load import LoadReport, ReportedLoad
 from lagoonlever.gateway.beliefs import Beliefs
 from lagoonlever.peers.messages import PEER
 from lagoonlever.peers.messages_placement import PlacementTold
