--- a/lagoonlever/decisions/targets/call_desks.py
+++ b/lagoonlever/decisions/targets/call_desks.py
@@ -17,7 +17,7 @@
 """Some 530 calls a second of 68 ms at 36 slots, 1,600 messages: a third of a core."""
 
 
-def groups_of(service: str, runners: Iterable[str]) -> tuple[tuple[str, ...], ...]:
+def runner_groups(service: str, runners: Iterable[str]) -> tuple[tuple[str, ...], ...]:
     """Give the runners of a service in groups, each with its own desk."""
     ordered = ranked(runners, purpose=f"calls {service}")
     count = -(-len(ordered) // RUNNERS_PER_COORDINATOR)
--- a/lagoonlever/gateway/call_desk.py
+++ b/lagoonlever/gateway/call_desk.py
@@ -10,7 +10,7 @@
 
 from lagoonlever.decisions.admission.call_line import CallEnd, CallLine, LineNews
 from lagoonlever.decisions.admission.room import RefusedWithReturn, RoomGiven, RoomOutcome
-from lagoonlever.decisions.targets.call_desks import groups_of
+from lagoonlever.decisions.targets.call_desks import runner_groups
 from lagoonlever.gateway import events_calls as events
 from lagoonlever.gateway import metrics
 from lagoonlever.gateway.beliefs import Beliefs
@@ -136,7 +136,7 @@
         """Give a line with the runners of its group, as they are listed now."""
         serving = self._beliefs.targets.serving(service)
         able = {each.id: each.data_center for each in serving if not self._rests(each.id)}
-        groups = groups_of(service, (each.id for each in serving))
+        groups = runner_groups(service, (each.id for each in serving))
         names = groups[group] if group < len(groups) else ()
         kept = self._lines.get((service, group))
         if kept is None:
--- a/lagoonlever/gateway/call_places.py
+++ b/lagoonlever/gateway/call_places.py
@@ -16,7 +16,7 @@
 from lagoonlever.decisions.admission.call_line import RENEW_S, CallEnd
 from lagoonlever.decisions.admission.room import RefusedWithReturn, RoomGiven, WaitInLine
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS, gives
-from lagoonlever.decisions.targets.call_desks import desks_of, groups_of
+from lagoonlever.decisions.targets.call_desks import desks_of, runner_groups
 from lagoonlever.decisions.targets.listed_target import ListedTarget
 from lagoonlever.gateway import events_calls as events
 from lagoonlever.gateway import metrics
@@ -150,7 +150,7 @@
     ) -> PlaceOutcome:
         service = accepted.service
         names = [each.id for each in self._serving(service)]
-        groups = groups_of(service, names)
+        groups = runner_groups(service, names)
         if set(avoid).issuperset(names):
             return None
         number = next(self._numbers)
@@ -272,7 +272,7 @@
         return True
 
     def _give_back(self, told: PlaceTold, desk: str) -> None:
-        groups = groups_of(told.service, (each.id for each in self._serving(told.service)))
+        groups = runner_groups(told.service, (each.id for each in self._serving(told.service)))
         for group in range(len(groups)):
             message = PlaceEnded(
                 number=told.number, service=told.service, group=group, target=told.target
--- a/lagoonlever/tests/call_places_tests.py
+++ b/lagoonlever/tests/call_places_tests.py
@@ -14,7 +14,11 @@
 from lagoonlever.decisions.admission.room import RefusedWithReturn
 from lagoonlever.decisions.settings.configuration import RouteKind, ServiceRoute
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS
-from lagoonlever.decisions.targets.call_desks import RUNNERS_PER_COORDINATOR, desks_of, groups_of
+from lagoonlever.decisions.targets.call_desks import (
+    RUNNERS_PER_COORDINATOR,
+    desks_of,
+    runner_groups,
+)
 from lagoonlever.decisions.targets.listed_target import ListedTarget
 from lagoonlever.decisions.targets.reported_load import LoadReport, ReportedLoad
 from lagoonlever.gateway.accepted import Accepted
@@ -365,7 +369,7 @@
 
 def test_a_large_service_is_split_among_desks_evenly() -> None:
     runners = [f"r-{number}" for number in range(40)]
-    groups = groups_of(SERVICE, runners)
+    groups = runner_groups(SERVICE, runners)
     assert sorted(name for group in groups for name in group) == sorted(runners)
     assert all(len(group) <= RUNNERS_PER_COORDINATOR for group in groups)
     firsts = {desks_of(SERVICE, number, map(str, range(300)))[0] for number in range(len(groups))}
