--- a/lagoonlever/decisions/targets/call_desks.py
+++ b/lagoonlever/decisions/targets/call_desks.py
@@ -24,6 +24,6 @@
     return tuple(tuple(ordered[number::count]) for number in range(count))
 
 
-def desks_of(service: str, group: int, vms: Iterable[str]) -> list[str]:
+def ranked_coordinators(service: str, group: int, vms: Iterable[str]) -> list[str]:
     """Give the VMs in the order in which they are asked for places of a group."""
     return ranked(vms, purpose=f"calls {service} {group}")
--- a/lagoonlever/gateway/call_places.py
+++ b/lagoonlever/gateway/call_places.py
@@ -16,7 +16,7 @@
 from lagoonlever.decisions.admission.call_line import RENEW_S, CallEnd
 from lagoonlever.decisions.admission.room import RefusedWithReturn, RoomGiven, WaitInLine
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS, gives
-from lagoonlever.decisions.targets.call_desks import desks_of, runner_groups
+from lagoonlever.decisions.targets.call_desks import ranked_coordinators, runner_groups
 from lagoonlever.decisions.targets.listed_target import ListedTarget
 from lagoonlever.gateway import events_calls as events
 from lagoonlever.gateway import metrics
@@ -298,7 +298,7 @@
         if not names or not self._leaving():
             names.append(self._bus.own.name)
         able = [name for name in names if self._silent_until.get(name, 0.0) <= now]
-        return desks_of(service, group, able)[:MOST_DESKS]
+        return ranked_coordinators(service, group, able)[:MOST_DESKS]
 
     def _serving(self, service: str) -> tuple[ListedTarget, ...]:
         return self._beliefs.targets.serving(service)
--- a/lagoonlever/tests/call_places_tests.py
+++ b/lagoonlever/tests/call_places_tests.py
@@ -16,7 +16,7 @@
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS
 from lagoonlever.decisions.targets.call_desks import (
     RUNNERS_PER_COORDINATOR,
-    desks_of,
+    ranked_coordinators,
     runner_groups,
 )
 from lagoonlever.decisions.targets.listed_target import ListedTarget
@@ -141,7 +141,7 @@
 
 
 def order(vms: dict[str, CallingVm]) -> list[str]:
-    return desks_of(SERVICE, 0, vms)
+    return ranked_coordinators(SERVICE, 0, vms)
 
 
 def others(vms: dict[str, CallingVm]) -> list[str]:
@@ -372,5 +372,8 @@
     groups = runner_groups(SERVICE, runners)
     assert sorted(name for group in groups for name in group) == sorted(runners)
     assert all(len(group) <= RUNNERS_PER_COORDINATOR for group in groups)
-    firsts = {desks_of(SERVICE, number, map(str, range(300)))[0] for number in range(len(groups))}
+    firsts = {
+        ranked_coordinators(SERVICE, number, map(str, range(300)))[0]
+        for number in range(len(groups))
+    }
     assert len(firsts) > len(groups) / 2
