--- a/lagoonlever/gateway/call_desk.py
+++ b/lagoonlever/gateway/call_desk.py
@@ -10,7 +10,7 @@
 
 from lagoonlever.decisions.admission.call_line import CallEnd, CallLine, LineNews
 from lagoonlever.decisions.admission.room import RefusedWithReturn, RoomGiven, RoomOutcome
-from lagoonlever.decisions.targets.call_desks import runner_groups
+from lagoonlever.decisions.targets.call_coordinators import runner_groups
 from lagoonlever.gateway import events_calls as events
 from lagoonlever.gateway import metrics
 from lagoonlever.gateway.beliefs import Beliefs
--- a/lagoonlever/gateway/call_places.py
+++ b/lagoonlever/gateway/call_places.py
@@ -16,7 +16,7 @@
 from lagoonlever.decisions.admission.call_line import RENEW_S, CallEnd
 from lagoonlever.decisions.admission.room import RefusedWithReturn, RoomGiven, WaitInLine
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS, gives
-from lagoonlever.decisions.targets.call_desks import ranked_coordinators, runner_groups
+from lagoonlever.decisions.targets.call_coordinators import ranked_coordinators, runner_groups
 from lagoonlever.decisions.targets.listed_target import ListedTarget
 from lagoonlever.gateway import events_calls as events
 from lagoonlever.gateway import metrics
--- a/lagoonlever/tests/call_places_tests.py
+++ b/lagoonlever/tests/call_places_tests.py
@@ -14,7 +14,7 @@
 from lagoonlever.decisions.admission.room import RefusedWithReturn
 from lagoonlever.decisions.settings.configuration import RouteKind, ServiceRoute
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS
-from lagoonlever.decisions.targets.call_desks import (
+from lagoonlever.decisions.targets.call_coordinators import (
     RUNNERS_PER_COORDINATOR,
     ranked_coordinators,
     runner_groups,
