--- a/lagoonlever/decisions/targets/registry.py
+++ b/lagoonlever/decisions/targets/registry.py
@@ -269,7 +269,7 @@
         return True
 
     @property
-    def said_leaving(self) -> dict[str, int | None]:
+    def leave_announcements(self) -> dict[str, int | None]:
         """The targets that have said that they leave, with the starts of their processes."""
         return self._leaves.starts
 
--- a/lagoonlever/gateway/target_words.py
+++ b/lagoonlever/gateway/target_words.py
@@ -144,7 +144,7 @@
 
     def greet(self, newcomer: Address) -> None:
         """Tell a VM that has just come, or was not heard, which targets leave."""
-        said = self._beliefs.targets.said_leaving
+        said = self._beliefs.targets.leave_announcements
         leaving = tuple(LeavingTarget(target=t, started_ms=start) for t, start in said.items())
         if leaving:
             self._bus.send(newcomer, TargetsLeave(targets=leaving))
