--- a/lagoonlever/decisions/targets/registry.py
+++ b/lagoonlever/decisions/targets/registry.py
@@ -273,7 +273,9 @@
         """The targets that have said that they leave, with the starts of their processes."""
         return self._leaves.starts
 
-    def says_leaving(self, target_id: str, *, started_ms: int | None, now: float) -> bool:
+    def record_leave_announcement(
+        self, target_id: str, *, started_ms: int | None, now: float
+    ) -> bool:
         """Take a target's word that it leaves; gives whether it is news of its process now."""
         known = self._targets.get(target_id)
         if known is not None and known.is_later_than(started_ms):
--- a/lagoonlever/gateway/learner.py
+++ b/lagoonlever/gateway/learner.py
@@ -99,7 +99,9 @@
     def take_leaving(self, target_id: str, started_ms: int | None, *, source: str) -> bool:
         """Take a target's word that it leaves; gives whether it is news."""
         registry = self._beliefs.targets
-        if not registry.says_leaving(target_id, started_ms=started_ms, now=self._timers.now):
+        if not registry.record_leave_announcement(
+            target_id, started_ms=started_ms, now=self._timers.now
+        ):
             return False
         events.TARGET_SAYS_LEAVING.log(log, target=target_id, source=source)
         return True
--- a/lagoonlever/tests/said_leaving_tests.py
+++ b/lagoonlever/tests/said_leaving_tests.py
@@ -20,7 +20,7 @@
 def test_a_word_that_comes_before_the_first_entry_is_of_its_process_only() -> None:
     """Guards against a new process that gets no work for what its former life has said."""
     listed = TargetRegistry()
-    assert listed.says_leaving("t", started_ms=1, now=0.0)
+    assert listed.record_leave_announcement("t", started_ms=1, now=0.0)
     entry = attrs.evolve(TARGET, started_ms=2)
     change = TargetChange(id="t", target=entry, revision=Revision(number=5))
     listed.change(change, now=1.0, store_back_at=None)
@@ -63,7 +63,7 @@
     def say_leaving(self, late: int) -> None:
         """Tell of a leave, perhaps late and of a former process."""
         process = max(1, self.start - late)
-        self.listed.says_leaving("t", started_ms=process, now=self.now)
+        self.listed.record_leave_announcement("t", started_ms=process, now=self.now)
         if process == self.start:
             self.told_at.setdefault(process, self.now)
 
--- a/lagoonlever/tests/target_registry_tests.py
+++ b/lagoonlever/tests/target_registry_tests.py
@@ -210,7 +210,7 @@
     """Guards against work for a target that leaves, as the store tells of its former process."""
     listed = restarted_before_a_return()
     if leaves_by == "its own word":
-        assert listed.says_leaving("e1", started_ms=200, now=2.0)
+        assert listed.record_leave_announcement("e1", started_ms=200, now=2.0)
     else:
         leaving = started("e1", 200, draining=True)
         change(listed, "e1", leaving, revision=of_era(1, 31), now=2.0, store_back_at=None)
@@ -245,7 +245,7 @@
 ) -> None:
     """Guards against a target whose clock was set back, and is taken for its former process."""
     listed = restarted_before_a_return()
-    listed.says_leaving("e1", started_ms=200, now=2.0)
+    listed.record_leave_announcement("e1", started_ms=200, now=2.0)
     change(listed, "e1", started("e1", 150), revision=revision, now=5.0, store_back_at=None)
     assert listed.start_of("e1") == (150 if is_new else 200)
     assert listed.takes_work("e1") == is_new
@@ -257,7 +257,7 @@
     """Guards against a VM that starts beside a return, and lists only the former process."""
     listed = TargetRegistry()
     come_back(listed, 100)
-    assert listed.says_leaving("e1", started_ms=200, now=6.0)
+    assert listed.record_leave_announcement("e1", started_ms=200, now=6.0)
     assert not listed.takes_work("e1")
     change(listed, "e1", started("e1", 200), revision=of_era(2, 41), now=6.5, store_back_at=None)
     assert not listed.takes_work("e1")
@@ -268,7 +268,7 @@
 def test_word_of_a_later_process_stays_where_the_former_one_is_listed_after_it() -> None:
     """Guards against a first list of an older copy that undoes what another VM has told."""
     listed = TargetRegistry()
-    assert listed.says_leaving("e1", started_ms=200, now=4.0)
+    assert listed.record_leave_announcement("e1", started_ms=200, now=4.0)
     come_back(listed, 100)
     assert not listed.takes_work("e1")
 
