--- a/lagoonlever/decisions/targets/freshness.py
+++ b/lagoonlever/decisions/targets/freshness.py
@@ -27,7 +27,7 @@
 """One peer is asked this often also while the list is read in time: a push may get lost."""
 
 
-class Belief(enum.Enum):
+class ListStatus(enum.Enum):
     """Why the list of targets is believed, or that it is not."""
 
     FRESH = "fresh"
@@ -37,7 +37,7 @@
     @property
     def allows_work(self) -> bool:
         """Whether new work may be given to targets on the strength of the list."""
-        return self is not Belief.ISOLATED
+        return self is not ListStatus.ISOLATED
 
 
 @attrs.define(kw_only=True)
@@ -72,7 +72,7 @@
         """Give the age of the list in seconds; endless when none was ever read."""
         return float("inf") if self._read_at is None else now - self._read_at
 
-    def belief(self, now: float) -> Belief:
+    def belief(self, now: float) -> ListStatus:
         """Tell whether the list may be believed.
 
         A VM that lost the platform can't tell an outage for all from a cut
@@ -82,10 +82,10 @@
         target leaves, so this one gives no new work.
         """
         if self.age_s(now) <= self._fresh_s:
-            return Belief.FRESH
+            return ListStatus.FRESH
         if not self._peers:
-            return Belief.PLATFORM_OUTAGE
-        return Belief.PLATFORM_OUTAGE if self._most_answer(now) else Belief.ISOLATED
+            return ListStatus.PLATFORM_OUTAGE
+        return ListStatus.PLATFORM_OUTAGE if self._most_answer(now) else ListStatus.ISOLATED
 
     def read(self, at: float) -> None:
         """Note that the list was read, by a call that began at ``at``."""
--- a/lagoonlever/decisions/targets/watch.py
+++ b/lagoonlever/decisions/targets/watch.py
@@ -13,7 +13,7 @@
 import attrs
 
 from lagoonlever.decisions.membership.membership import MemberView
-from lagoonlever.decisions.targets.freshness import Belief, ListFreshness
+from lagoonlever.decisions.targets.freshness import ListStatus, ListFreshness
 from lagoonlever.decisions.targets.listing import (
     LeavingEvidence,
     TargetListing,
@@ -71,7 +71,7 @@
     def __attrs_post_init__(self) -> None:
         self._freshness.members_changed(self._members, 0.0)
 
-    def belief(self, now: float) -> Belief:
+    def belief(self, now: float) -> ListStatus:
         """Tell whether the list may be believed."""
         return self._freshness.belief(now)
 
--- a/lagoonlever/entry/targets/targets.py
+++ b/lagoonlever/entry/targets/targets.py
@@ -15,7 +15,7 @@
 
 from lagoonlever.config.options import option
 from lagoonlever.decisions.membership.membership import MemberView
-from lagoonlever.decisions.targets.freshness import Belief
+from lagoonlever.decisions.targets.freshness import ListStatus
 from lagoonlever.decisions.targets.listing import TargetListReading
 from lagoonlever.decisions.targets.load import LOAD_STALE_S, TargetReports
 from lagoonlever.decisions.targets.targets import (
@@ -76,9 +76,9 @@
     "The end of event 702 or 703.",
 )
 _BELIEF_EVENTS = {
-    Belief.ISOLATED: TARGETS_ISOLATED,
-    Belief.PLATFORM_OUTAGE: TARGETS_LIST_OUTAGE,
-    Belief.FRESH: TARGETS_LIST_FRESH,
+    ListStatus.ISOLATED: TARGETS_ISOLATED,
+    ListStatus.PLATFORM_OUTAGE: TARGETS_LIST_OUTAGE,
+    ListStatus.FRESH: TARGETS_LIST_FRESH,
 }
 _STATE_EVENTS = {TargetState.LEAVING: TARGET_LEAVING, TargetState.GONE: TARGET_GONE}
 
@@ -121,7 +121,7 @@
     _settings: TargetSettings = attrs.field(factory=TargetSettings)
     _knowledge: TargetKnowledge = attrs.field(init=False)
     _reports: TargetReports = attrs.field(init=False)
-    _belief: Belief = attrs.field(default=Belief.FRESH, init=False)
+    _belief: ListStatus = attrs.field(default=ListStatus.FRESH, init=False)
     _states: dict[str, TargetState] = attrs.field(factory=dict, init=False)
     view: Published[TargetView] = attrs.field(init=False)
     """The latest view; while this VM is isolated every live target in it is ``UNSURE``."""
@@ -134,7 +134,7 @@
         self.view = Published(TargetView())
 
     @property
-    def belief(self) -> Belief:
+    def belief(self) -> ListStatus:
         """Whether the list of targets may be believed now."""
         return self._knowledge.belief(self._timers.now)
 
--- a/lagoonlever/tests/cluster_tests.py
+++ b/lagoonlever/tests/cluster_tests.py
@@ -6,7 +6,7 @@
 import trio
 
 from lagoonlever.client.answers import HeldStream
-from lagoonlever.decisions.targets.freshness import Belief, ListFreshness
+from lagoonlever.decisions.targets.freshness import ListStatus, ListFreshness
 from lagoonlever.entry.generations.generations import GenerationSettings
 from lagoonlever.fakes.batch import ServedModel
 from lagoonlever.fakes.cluster import DATA_CENTERS, MODEL
@@ -316,8 +316,8 @@
 class Isolated(ListFreshness):
     """What a VM believes that reaches neither the platform nor its peers."""
 
-    def belief(self, now: float) -> Belief:
-        return Belief.ISOLATED
+    def belief(self, now: float) -> ListStatus:
+        return ListStatus.ISOLATED
 
 
 def test_kept_answers_are_bounded_in_number_and_age(tmp_path):
--- a/lagoonlever/tests/target_watch_tests.py
+++ b/lagoonlever/tests/target_watch_tests.py
@@ -10,7 +10,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from lagoonlever.decisions.membership.membership import MemberView
-from lagoonlever.decisions.targets.freshness import Belief, ListFreshness
+from lagoonlever.decisions.targets.freshness import ListStatus, ListFreshness
 from lagoonlever.decisions.targets.listing import HOLD_S
 from lagoonlever.history.checkers import Violation
 from lagoonlever.history.checkers.leaving_target import check
@@ -79,7 +79,7 @@
             vm.platform, vm.paused, vm.lag_steps = True, False, 0
         self.fleet.run(int((HOLD_S + 5.0) / STEP_S))
         for vm in self.fleet.vms:
-            assert vm.knowledge.belief(self.fleet.now) is Belief.FRESH
+            assert vm.knowledge.belief(self.fleet.now) is ListStatus.FRESH
             for target in self.fleet.current():
                 may = vm.knowledge.may_dispatch(target.name, target.address, self.fleet.now)
                 assert may is not target.leaving
@@ -213,5 +213,5 @@
         vm.platform = False
     fleet.run(600)
     for vm in fleet.vms:
-        assert vm.knowledge.belief(fleet.now) is Belief.PLATFORM_OUTAGE
+        assert vm.knowledge.belief(fleet.now) is ListStatus.PLATFORM_OUTAGE
         assert vm.knowledge.may_dispatch(NAMES[0], target_address(0, 0), fleet.now)
