--- a/lagoonlever/decisions/targets/listing.py
+++ b/lagoonlever/decisions/targets/listing.py
@@ -12,7 +12,7 @@
 
 import attrs
 
-from lagoonlever.decisions.targets.targets import Target, TargetKind, TargetLife, TargetState
+from lagoonlever.decisions.targets.targets import Target, TargetKind, TargetIncarnation, TargetState
 from lagoonlever.http.messages import Address
 
 HOLD_S = 30.0
@@ -60,15 +60,15 @@
     _read_at: float | None = None
     _listed: dict[str, ListedTarget] = attrs.field(factory=dict)
     _absent_since: dict[str, float] = attrs.field(factory=dict)
-    _leaving_at: dict[TargetLife, float] = attrs.field(factory=dict)
-    _told_at: dict[TargetLife, float] = attrs.field(factory=dict)
+    _leaving_at: dict[TargetIncarnation, float] = attrs.field(factory=dict)
+    _told_at: dict[TargetIncarnation, float] = attrs.field(factory=dict)
 
     def state_of(self, name: str, address: Address) -> TargetState:
         """Give the state of one life of a target: its name at one address."""
         listed = self._listed.get(name)
         if listed is None or listed.address != address or name in self._absent_since:
             return TargetState.GONE
-        if listed.leaving or TargetLife(name, address) in self._leaving_at:
+        if listed.leaving or TargetIncarnation(name, address) in self._leaving_at:
             return TargetState.LEAVING
         return TargetState.LIVE
 
@@ -111,7 +111,7 @@
         """Take peers' evidence; gives what was new here, to be told further."""
         news = []
         for item in evidence:
-            life = TargetLife(item.name, item.address)
+            life = TargetIncarnation(item.name, item.address)
             leaving_at = now - max(0.0, item.age_s)
             if self._outlived(leaving_at):
                 continue
@@ -126,7 +126,7 @@
         for target in reading.targets:
             if not target.leaving:
                 continue
-            life = TargetLife(target.name, target.address)
+            life = TargetIncarnation(target.name, target.address)
             self._leaving_at[life] = max(reading.read_at, self._leaving_at.get(life, 0.0))
             told_at = self._told_at.get(life)
             if told_at is not None and reading.read_at - told_at < self._repeat_s:
--- a/lagoonlever/decisions/targets/load.py
+++ b/lagoonlever/decisions/targets/load.py
@@ -10,7 +10,7 @@
     ModelKey,
     Target,
     TargetKind,
-    TargetLife,
+    TargetIncarnation,
     TargetLoad,
 )
 
@@ -37,7 +37,7 @@
     """
 
     _stale_s: float = LOAD_STALE_S
-    _reports: dict[TargetLife, _Report] = attrs.field(factory=dict)
+    _reports: dict[TargetIncarnation, _Report] = attrs.field(factory=dict)
 
     def needs_models(self, target: Target) -> bool:
         """Tell whether an engine has not yet told which models it serves."""
--- a/lagoonlever/decisions/targets/targets.py
+++ b/lagoonlever/decisions/targets/targets.py
@@ -62,7 +62,7 @@
 
 
 @attrs.frozen
-class TargetLife:
+class TargetIncarnation:
     """A target's name at one address: at another address it is another process."""
 
     name: str
@@ -86,9 +86,9 @@
     impaired: bool = False
 
     @property
-    def life(self) -> TargetLife:
+    def life(self) -> TargetIncarnation:
         """The life of the target that this snapshot is of."""
-        return TargetLife(self.name, self.address)
+        return TargetIncarnation(self.name, self.address)
 
     @property
     def takes_work(self) -> bool:
--- a/lagoonlever/entry/targets/probes.py
+++ b/lagoonlever/entry/targets/probes.py
@@ -8,7 +8,7 @@
 import attrs
 import trio
 
-from lagoonlever.decisions.targets.targets import Target, TargetKind, TargetLife, TargetView
+from lagoonlever.decisions.targets.targets import Target, TargetKind, TargetIncarnation, TargetView
 from lagoonlever.entry.targets.targets import TargetSettings, TargetWatch
 from lagoonlever.exceptions import PeerError
 from lagoonlever.http.client import Pool
@@ -54,7 +54,7 @@
     _random: random.Random
     _settings: TargetSettings = attrs.field(factory=TargetSettings)
     _pool: Pool = attrs.field(factory=Pool, init=False)
-    _probed: dict[TargetLife, _Probed] = attrs.field(factory=dict, init=False)
+    _probed: dict[TargetIncarnation, _Probed] = attrs.field(factory=dict, init=False)
 
     @property
     def _view(self) -> Published[TargetView]:
