--- a/lagoonlever/decisions/targets/targets.py
+++ b/lagoonlever/decisions/targets/targets.py
@@ -86,7 +86,7 @@
     impaired: bool = False
 
     @property
-    def life(self) -> TargetIncarnation:
+    def incarnation(self) -> TargetIncarnation:
         """The life of the target that this snapshot is of."""
         return TargetIncarnation(self.name, self.address)
 
