--- a/lagoonlever/decisions/targets/load_view.py
+++ b/lagoonlever/decisions/targets/load_view.py
@@ -98,7 +98,7 @@
         """Every target that is known, in order."""
         return tuple(sorted(self._states))
 
-    def told(self, word: LoadReport, *, asked_at: float | None = None) -> bool:
+    def record_report(self, word: LoadReport, *, asked_at: float | None = None) -> bool:
         """Take a target's own word, given to a request of ``asked_at``; gives if it counts.
 
         A request of before the target started again was answered by the former process.
--- a/lagoonlever/gateway/target_words.py
+++ b/lagoonlever/gateway/target_words.py
@@ -65,7 +65,7 @@
                 at=self._timers.now,
                 started_ms=self._beliefs.targets.start_of(target),
             )
-            self._beliefs.loads.told(word, asked_at=sent_at)
+            self._beliefs.loads.record_report(word, asked_at=sent_at)
         if head.unreadable and self._unreadable.get(target) != head.unreadable:
             self._unreadable[target] = head.unreadable
             events.TARGET_FIELD_UNREADABLE.log(log, target=target, fields=head.unreadable)
--- a/lagoonlever/tests/load_view_tests.py
+++ b/lagoonlever/tests/load_view_tests.py
@@ -31,7 +31,7 @@
 def test_requests_since_the_word_are_added_and_those_that_ended_are_taken_off() -> None:
     loads = TargetLoads()
     before = loads.sent("t", 0.0)
-    loads.told(word(running=5, at=0.1))
+    loads.record_report(word(running=5, at=0.1))
     loads.sent("t", 0.2)
     loads.sent("t", 0.2)
     assert loads.estimate("t", 0.2).waiting == 1
@@ -45,7 +45,7 @@
     """Guards against an idle target that looks busy again, as the end was long ago."""
     loads = TargetLoads()
     ticket = loads.sent("t", 0.0)
-    loads.told(word(running=1, at=0.1))
+    loads.record_report(word(running=1, at=0.1))
     loads.ended(ticket, 0.2)
     for number in range(20):
         loads.ended(loads.sent("t", 1.0 + number), 1.5 + number)
@@ -66,14 +66,14 @@
     loads = TargetLoads()
     for number in range(9):
         loads.sent("t", 0.1 * number)
-        loads.told(word(running=told, at=0.1 * number + 0.05))
+        loads.record_report(word(running=told, at=0.1 * number + 0.05))
     estimate = loads.estimate("t", 1.0)
     assert (estimate.running, estimate.waiting) == (6, 3)
 
 
 def test_slowness_fades_to_the_usual_as_the_moment_ends() -> None:
     loads = TargetLoads()
-    loads.told(word(at=0.0, slowness=2.5))
+    loads.record_report(word(at=0.0, slowness=2.5))
     seen = [loads.estimate("t", MOMENT_S * part).slowness for part in (0.0, 0.5, 1.0, 9.0)]
     assert seen == [2.5, 1.75, USUAL, USUAL]
 
@@ -81,7 +81,7 @@
 def test_old_news_does_not_replace_a_newer_word() -> None:
     """Guards against news that a slow link brings after the target's own answer."""
     loads = TargetLoads()
-    loads.told(word(running=4, at=1.0, slowness=1.0))
+    loads.record_report(word(running=4, at=1.0, slowness=1.0))
     assert not loads.passed_on(word(running=0, at=0.5, slowness=2.5))
     assert loads.estimate("t", 1.0).running == 4
     assert loads.passed_on(word(running=2, at=1.5))
@@ -92,9 +92,9 @@
 def test_an_answer_of_the_former_process_says_nothing_of_the_new_one() -> None:
     loads = TargetLoads()
     ticket = loads.sent("t", 0.0)
-    loads.told(word(running=6, at=0.5, slowness=2.5))
+    loads.record_report(word(running=6, at=0.5, slowness=2.5))
     loads.started_again("t", 1.0)
-    assert not loads.told(word(running=6, at=1.1, slowness=2.5), asked_at=0.9)
+    assert not loads.record_report(word(running=6, at=1.1, slowness=2.5), asked_at=0.9)
     loads.ended(ticket, 1.2)
     assert loads.estimate("t", 1.3).running == 0
     assert not loads.tells_slowness("t")
@@ -102,7 +102,7 @@
 
 def test_the_count_is_the_less_certain_the_older_its_word() -> None:
     loads = TargetLoads()
-    loads.told(word(running=3, at=0.0))
+    loads.record_report(word(running=3, at=0.0))
     errors = [loads.estimate("t", at).error for at in (0.0, 0.1, 1.0, 100.0)]
     assert errors[0] == 0.0 and errors == sorted(errors) and errors[-1] == SLOTS
 
@@ -146,7 +146,7 @@
     def answer(self, extra: int, waiting: int) -> None:
         running = float(extra + len(self.open))
         given = word(running=running, waiting=waiting, at=self.now, slowness=2.5)
-        if self.loads.told(given):
+        if self.loads.record_report(given):
             self.told = given
 
     @rule(age_s=st.floats(0.0, 0.9 * KEPT_S), running=st.integers(0, 9))
