--- a/lagoonlever/decisions/targets/load_view.py
+++ b/lagoonlever/decisions/targets/load_view.py
@@ -106,7 +106,7 @@
         asked = word.at if asked_at is None else asked_at
         return self._take(word, LoadSource.ANSWER, asked_at=asked)
 
-    def passed_on(self, word: LoadReport) -> bool:
+    def record_relayed_report(self, word: LoadReport) -> bool:
         """Take a target's word that another VM passes on; gives whether it counts."""
         return self._take(word, LoadSource.NEWS, asked_at=word.at)
 
--- a/lagoonlever/gateway/peers.py
+++ b/lagoonlever/gateway/peers.py
@@ -206,7 +206,7 @@
         engine = self._beliefs.targets.find(run.engine)
         if engine is None or engine.is_later_than(run.engine_started_ms):
             return
-        self._beliefs.loads.passed_on(change.load.word(run, self._timers.now))
+        self._beliefs.loads.record_relayed_report(change.load.word(run, self._timers.now))
 
     def _end(self, ended: RunEnded) -> None:
         self._beliefs.book.end(
--- a/lagoonlever/tests/load_view_tests.py
+++ b/lagoonlever/tests/load_view_tests.py
@@ -56,7 +56,7 @@
     loads = TargetLoads()
     ticket = loads.sent("t", 0.0)
     loads.ended(ticket, 0.2)
-    loads.passed_on(word(running=3, at=0.19))
+    loads.record_relayed_report(word(running=3, at=0.19))
     assert loads.estimate("t", 0.21).running == 2
 
 
@@ -82,9 +82,9 @@
     """Guards against news that a slow link brings after the target's own answer."""
     loads = TargetLoads()
     loads.record_report(word(running=4, at=1.0, slowness=1.0))
-    assert not loads.passed_on(word(running=0, at=0.5, slowness=2.5))
+    assert not loads.record_relayed_report(word(running=0, at=0.5, slowness=2.5))
     assert loads.estimate("t", 1.0).running == 4
-    assert loads.passed_on(word(running=2, at=1.5))
+    assert loads.record_relayed_report(word(running=2, at=1.5))
     assert loads.estimate("t", 1.6).source is LoadSource.NEWS
     assert not loads.tells_slowness("t")
 
@@ -152,7 +152,7 @@
     @rule(age_s=st.floats(0.0, 0.9 * KEPT_S), running=st.integers(0, 9))
     def news(self, age_s: float, running: int) -> None:
         given = word(running=running, at=self.now - age_s)
-        if self.loads.passed_on(given):
+        if self.loads.record_relayed_report(given):
             assert given.at >= self.born_at
             self.told = given
 
--- a/lagoonlever/tests/uneven_engines_tests.py
+++ b/lagoonlever/tests/uneven_engines_tests.py
@@ -189,7 +189,7 @@
     made = EngineBook(rng=random.Random(seed), data_center="a")
     for engine, times in slowness.items():
         load = ReportedLoad(running=0.0, waiting=0.0, slots=16.0, slowness=times)
-        made.loads.passed_on(LoadReport(target=engine, load=load, at=0.0))
+        made.loads.record_relayed_report(LoadReport(target=engine, load=load, at=0.0))
     return made
 
 
