--- a/lagoonlever/decisions/targets/load_view.py
+++ b/lagoonlever/decisions/targets/load_view.py
@@ -125,7 +125,7 @@
         state.ended.append(_Ended(sent_at=sent_at, ended_at=now))
         state.forget_ended(now)
 
-    def started_again(self, target: str, now: float) -> None:
+    def record_restart(self, target: str, now: float) -> None:
         """Note that another process has a target's id: it holds and has said nothing."""
         self._states.pop(target, None)
         self._born_at[target] = now
--- a/lagoonlever/gateway/target_words.py
+++ b/lagoonlever/gateway/target_words.py
@@ -140,7 +140,7 @@
     def started_again(self, target: str) -> None:
         """Note that another process has a target's id: it has asked for no rest yet."""
         self._rests.forget(target)
-        self._beliefs.loads.started_again(target, self._timers.now)
+        self._beliefs.loads.record_restart(target, self._timers.now)
 
     def greet(self, newcomer: Address) -> None:
         """Tell a VM that has just come, or was not heard, which targets leave."""
--- a/lagoonlever/tests/load_view_tests.py
+++ b/lagoonlever/tests/load_view_tests.py
@@ -93,7 +93,7 @@
     loads = TargetLoads()
     ticket = loads.sent("t", 0.0)
     loads.record_report(word(running=6, at=0.5, slowness=2.5))
-    loads.started_again("t", 1.0)
+    loads.record_restart("t", 1.0)
     assert not loads.record_report(word(running=6, at=1.1, slowness=2.5), asked_at=0.9)
     loads.ended(ticket, 1.2)
     assert loads.estimate("t", 1.3).running == 0
@@ -158,7 +158,7 @@
 
     @rule()
     def start_again(self) -> None:
-        self.loads.started_again("t", self.now)
+        self.loads.record_restart("t", self.now)
         self.over += self.open
         self.open.clear()
         self.ended.clear()
--- a/lagoonlever/tests/uneven_engines_tests.py
+++ b/lagoonlever/tests/uneven_engines_tests.py
@@ -273,7 +273,7 @@
     shows(book, "e2", FAST, times=9)
     uneven = UnevenEngines(paces=book.paces, loads=book.loads)
     assert uneven.relative("engines", "e1", 0.1) > 1.2
-    book.loads.started_again("e1", 0.1)
+    book.loads.record_restart("e1", 0.1)
     assert uneven.relative("engines", "e1", 0.1) == 1.0
     assert uneven.moment_s("e1", 1.0, 0.1) == 0.0
 
