--- a/lagoonlever/decisions/targets/listing.py
+++ b/lagoonlever/decisions/targets/listing.py
@@ -12,7 +12,7 @@
 
 import attrs
 
-from lagoonlever.decisions.targets.targets import Target, TargetKind, TargetIncarnation, TargetState
+from lagoonlever.decisions.targets.targets import Target, TargetIncarnation, TargetKind, TargetState
 from lagoonlever.http.messages import Address
 
 HOLD_S = 30.0
--- a/lagoonlever/decisions/targets/load.py
+++ b/lagoonlever/decisions/targets/load.py
@@ -9,8 +9,8 @@
 from lagoonlever.decisions.targets.targets import (
     ModelKey,
     Target,
-    TargetKind,
     TargetIncarnation,
+    TargetKind,
     TargetLoad,
 )
 
--- a/lagoonlever/decisions/targets/watch.py
+++ b/lagoonlever/decisions/targets/watch.py
@@ -13,7 +13,7 @@
 import attrs
 
 from lagoonlever.decisions.membership.membership import MemberView
-from lagoonlever.decisions.targets.freshness import ListStatus, ListFreshness
+from lagoonlever.decisions.targets.freshness import ListFreshness, ListStatus
 from lagoonlever.decisions.targets.listing import (
     LeavingEvidence,
     TargetListing,
--- a/lagoonlever/entry/targets/probes.py
+++ b/lagoonlever/entry/targets/probes.py
@@ -8,7 +8,7 @@
 import attrs
 import trio
 
-from lagoonlever.decisions.targets.targets import Target, TargetKind, TargetIncarnation, TargetView
+from lagoonlever.decisions.targets.targets import Target, TargetIncarnation, TargetKind, TargetView
 from lagoonlever.entry.targets.targets import TargetSettings, TargetWatch
 from lagoonlever.exceptions import PeerError
 from lagoonlever.http.client import Pool
--- a/lagoonlever/gateway/target_words.py
+++ b/lagoonlever/gateway/target_words.py
@@ -12,8 +12,8 @@
 from lagoonlever.decisions.targets.limit_permits import Denied, Granted, PermitOutcome
 from lagoonlever.decisions.targets.listed_target import ListedTarget
 from lagoonlever.decisions.targets.load_view import SentTicket
-from lagoonlever.decisions.targets.rests import RestingTargets
 from lagoonlever.decisions.targets.reported_load import LoadReport
+from lagoonlever.decisions.targets.rests import RestingTargets
 from lagoonlever.gateway import events
 from lagoonlever.gateway.beliefs import Beliefs
 from lagoonlever.gateway.hub_spread import HubSpread
--- a/lagoonlever/tests/cluster_tests.py
+++ b/lagoonlever/tests/cluster_tests.py
@@ -6,7 +6,7 @@
 import trio
 
 from lagoonlever.client.answers import HeldStream
-from lagoonlever.decisions.targets.freshness import ListStatus, ListFreshness
+from lagoonlever.decisions.targets.freshness import ListFreshness, ListStatus
 from lagoonlever.entry.generations.generations import GenerationSettings
 from lagoonlever.fakes.batch import ServedModel
 from lagoonlever.fakes.cluster import DATA_CENTERS, MODEL
--- a/lagoonlever/tests/target_watch_tests.py
+++ b/lagoonlever/tests/target_watch_tests.py
@@ -10,7 +10,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from lagoonlever.decisions.membership.membership import MemberView
-from lagoonlever.decisions.targets.freshness import ListStatus, ListFreshness
+from lagoonlever.decisions.targets.freshness import ListFreshness, ListStatus
 from lagoonlever.decisions.targets.listing import HOLD_S
 from lagoonlever.history.checkers import Violation
 from lagoonlever.history.checkers.leaving_target import check
