--- a/lagoonlever/decisions/targets/load.py
+++ b/lagoonlever/decisions/targets/load.py
@@ -43,12 +43,12 @@
         """Tell whether an engine has not yet told which models it serves."""
         if target.kind is TargetKind.APPLICATION:
             return False
-        report = self._reports.get(target.life)
+        report = self._reports.get(target.incarnation)
         return report is None or report.models is None
 
     def described(self, target: Target, now: float) -> Target:
         """Give the target with its models, its load if fresh, and whether it is impaired."""
-        report = self._reports.get(target.life)
+        report = self._reports.get(target.incarnation)
         if report is None:
             return target
         load = report.load
@@ -85,8 +85,8 @@
 
     def keep_only(self, targets: Iterable[Target]) -> None:
         """Forget every life of a target that is not among these."""
-        lives = {target.life for target in targets}
+        lives = {target.incarnation for target in targets}
         self._reports = {life: r for life, r in self._reports.items() if life in lives}
 
     def _of(self, target: Target) -> _Report:
-        return self._reports.setdefault(target.life, _Report())
+        return self._reports.setdefault(target.incarnation, _Report())
--- a/lagoonlever/entry/targets/probes.py
+++ b/lagoonlever/entry/targets/probes.py
@@ -116,10 +116,10 @@
         return [target for target in self._subset_of(self._view.value) if target.takes_work]
 
     def _of(self, target: Target) -> _Probed:
-        return self._probed.setdefault(target.life, _Probed())
+        return self._probed.setdefault(target.incarnation, _Probed())
 
     def _forget_old_lives(self) -> None:
-        lives = {target.life for target in self._view.value.targets}
+        lives = {target.incarnation for target in self._view.value.targets}
         for life in self._probed.keys() - lives:
             del self._probed[life]
 
--- a/lagoonlever/tests/target_words_tests.py
+++ b/lagoonlever/tests/target_words_tests.py
@@ -43,7 +43,7 @@
     async def story(site: GatewaySite) -> None:
         await site.wait_met()
         site.runners["runner-0"].says.leaving = "1"
-        while not site.vms["vm-0"].daemon.parts.beliefs.targets.said_leaving:
+        while not site.vms["vm-0"].daemon.parts.beliefs.targets.leave_announcements:
             await site.call("/bid/1")
         newcomer = await site.start_vm("vm-2")
         await site.wait_ready(newcomer)
--- a/lagoonlever/tests/uneven_engines_tests.py
+++ b/lagoonlever/tests/uneven_engines_tests.py
@@ -135,7 +135,7 @@
 
         def heard(book: EngineBook) -> None:
             book.flows(run.request, self._now)
-            book.loads.passed_on(word)
+            book.loads.record_relayed_report(word)
 
         self._tell(vm, heard)
         done_at = self._done_at(run.engine, self._now, MAKING_S)
--- a/lagoonlever/tests/uneven_placing_tests.py
+++ b/lagoonlever/tests/uneven_placing_tests.py
@@ -20,7 +20,7 @@
 
 def learn(beliefs: Beliefs, engine: str, pace: float, now: float) -> None:
     load = ReportedLoad(running=0.0, waiting=0.0, slots=16.0, slowness=1.0)
-    beliefs.loads.told(LoadReport(target=engine, load=load, at=now))
+    beliefs.loads.record_report(LoadReport(target=engine, load=load, at=now))
     for _ in range(5):
         beliefs.book.paces.read(SERVICE, engine, tokens=PROMPT, seconds=pace, now=now)
 
