--- a/lagoonlever/decisions/targets/leave_announcements.py
+++ b/lagoonlever/decisions/targets/leave_announcements.py
@@ -14,9 +14,9 @@
 from lagoonlever.decisions.targets.listed_target import ListedTarget
 
 FORGET_S = 60.0
-"""How long an announcement is kept after the target is no longer listed.
+"""An announcement older than this is removed unless its target is listed.
 
-An entry of the target that was still on its way has arrived by then.
+No entry of a target that is gone is still on its way after so long.
 """
 
 
--- a/lagoonlever/decisions/targets/limit_permits.py
+++ b/lagoonlever/decisions/targets/limit_permits.py
@@ -34,7 +34,7 @@
 MAX_RANK = 3
 """Ranks beyond this one are treated like it."""
 EXTRA_PERMITS_FOR_RETRY = 0.5
-"""How many more must be saved for an attempt after the first, which is only an advantage."""
+"""How many more must be saved for an attempt after the first, which is useful but not needed."""
 MAX_SAVED_PERMITS = 2.5
 """The maximum number of saved permits at a low limit.
 
--- a/lagoonlever/decisions/targets/load_view.py
+++ b/lagoonlever/decisions/targets/load_view.py
@@ -88,8 +88,7 @@
     def update_drift(self, report: LoadReport) -> None:
         """Update the drift by how much the estimate differs from a new report.
 
-        The error is taken to grow with the square root of the time between the reports, as that
-        of requests that come and go independently of each other.
+        The error is taken to grow with the square root of the time between two reports.
         """
         if self.report is None or report.at - self.report.at < MIN_REPORT_SPACING_S:
             return
--- a/lagoonlever/decisions/targets/replacements.py
+++ b/lagoonlever/decisions/targets/replacements.py
@@ -3,7 +3,8 @@
 In an outage of the store, engines that crash and restart can't register. If the engines of one
 data centre after the other crash within such an outage of eight seconds, and are back within two,
 the list names only ids that are gone, nearly every engine is idle and unknown in the end, and
-streams are rejected: without this check only a sixth of the work of these seconds succeeded.
+streams are rejected: without this check only a sixth of the value of the requests of these
+seconds was served.
 
 A process that answers at the address reports its id, but not its service, and the address of a
 target that ended is assigned to another service after a while. Before that while is over, the
