--- a/lagoonlever/decisions/targets/registry.py
+++ b/lagoonlever/decisions/targets/registry.py
@@ -368,7 +368,7 @@
             self._list_started_at = max(self._list_started_at, store_back_at)
 
     def _record_versions(self) -> None:
-        """Record the listed versions of each service, of which the first ones are its initial ones."""
+        """Record the listed versions of each service; the first ones count as its initial ones."""
         if not self.rolls_out:
             return
         listed: dict[str, set[str]] = {}
