--- a/lagoonlever/bench/local_fleet.py
+++ b/lagoonlever/bench/local_fleet.py
@@ -10,7 +10,7 @@
 import trio.testing
 
 from lagoonlever.decisions.engines.engine_book import EngineBook
-from lagoonlever.decisions.fleet.fellows import FellowState, FellowTable
+from lagoonlever.decisions.fleet.peer_table import PeerState, PeerTable
 from lagoonlever.gateway.beliefs import Beliefs
 from lagoonlever.gateway.daemon import LONGEST_WAIT_S
 from lagoonlever.gateway.knowledge import KnowledgeExchange
@@ -30,7 +30,7 @@
 class FleetVm:
     """One VM's presence and what it believes."""
 
-    state: FellowState
+    state: PeerState
     presence: Presence
     beliefs: Beliefs
     bus: LocalBus
@@ -49,7 +49,7 @@
 
     def sees(self, now: float) -> set[str]:
         """Give the VMs that it would send callers to."""
-        return {state.life.name for state in self.beliefs.fellows.offered(now)}
+        return {state.life.name for state in self.beliefs.fellows.accepting_callers(now)}
 
     @property
     def reads(self) -> bool:
@@ -78,7 +78,7 @@
         self.started += 1
         address = Address(host=f"10.0.0.{number}", port=1)
         life = Incarnation(name=name, started_ms=self.started, nonce=1000 + self.started)
-        state = FellowState(
+        state = PeerState(
             life=life,
             data_center=PLACES[number % len(PLACES)],
             callers=address,
@@ -87,7 +87,7 @@
         )
         rng = random.Random(number)
         book = EngineBook(rng=rng, data_center=state.data_center)
-        beliefs = Beliefs(fellows=FellowTable(own=life), book=book)
+        beliefs = Beliefs(fellows=PeerTable(own=life), book=book)
         bus = LocalBus(own=life, address=address, network=self.network)
         timers = TimerService(tick_s=LONGEST_WAIT_S)
         presence = Presence(
--- a/lagoonlever/decisions/fleet/hub_watch.py
+++ b/lagoonlever/decisions/fleet/hub_watch.py
@@ -33,17 +33,17 @@
     _since: float | None = None
     """When this VM first spoke to a hub."""
 
-    def spoke_to(self, hub: str, now: float) -> None:
+    def record_sent(self, hub: str, now: float) -> None:
         """Note a word of this VM to a hub, which is to answer it."""
         self._unanswered.setdefault(hub, now)
         if self._since is None:
             self._since = now
 
-    def doubtful(self, now: float) -> frozenset[str]:
+    def late_hubs(self, now: float) -> frozenset[str]:
         """Give the hubs whose answer is late, though they may still be there."""
         return frozenset(hub for hub, at in self._unanswered.items() if now - at > DOUBTFUL_S)
 
-    def overdue(self, now: float) -> tuple[str, ...]:
+    def take_overdue(self, now: float) -> tuple[str, ...]:
         """Give the hubs that did not answer in time; they are passed over from now on."""
         late = tuple(hub for hub, at in self._unanswered.items() if now - at > ANSWER_S)
         for hub in late:
@@ -51,7 +51,7 @@
             self._failed_until[hub] = now + FAILED_S
         return late
 
-    def heard(self, hub: str, now: float, *, data_center: str) -> None:
+    def record_answer(self, hub: str, now: float, *, data_center: str) -> None:
         """Note a word of a hub on the VMs of a data centre."""
         self._unanswered.pop(hub, None)
         self._told_at[data_center] = now
@@ -64,7 +64,7 @@
         self._told_at.clear()
         self._since = None
 
-    def failed(self, now: float) -> frozenset[str]:
+    def failed_hubs(self, now: float) -> frozenset[str]:
         """Give the hubs that are passed over now."""
         self._failed_until = {h: at for h, at in self._failed_until.items() if at > now}
         return frozenset(self._failed_until)
--- a/lagoonlever/decisions/fleet/fellows.py
+++ b/lagoonlever/decisions/fleet/peer_table.py
@@ -19,17 +19,17 @@
 from lagoonlever.identity import Incarnation
 from lagoonlever.revisions import NOWHERE, Revision
 
-SAY_EVERY_S = 0.3
-SILENT_S = 1.0
+ANNOUNCE_INTERVAL_S = 0.3
+SILENCE_TIMEOUT_S = 1.0
 """Three words missed: one lost, or late by a slow turn, doesn't take a VM out."""
-HUB_SILENT_S = 2.0
+HUB_SILENCE_TIMEOUT_S = 2.0
 """Where hubs pass words on: the time to find another hub, and an interval for each hop."""
-BLIND_MOST_S = 1.0
+MAX_BLIND_S = 1.0
 """How long a VM goes on with what it knew of a data centre that no hub tells of.
 
 Other hubs are found and answer within 2.2 s of a loss; what was known lasts 2.7 s.
 """
-KNOWN_AFTER_S = 3.0
+DISCOVERY_S = 3.0
 """After a start every VM that lives has been heard."""
 FLEET_AT_START = 100
 """What is assumed until then: more than the fleets served, and a share that allows one repeat."""
@@ -47,7 +47,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class FellowState:
+class PeerState:
     """What a VM says of itself."""
 
     life: Incarnation
@@ -66,7 +66,7 @@
     link_mbps: float = 0.0
     """How much its link carries; 0 where it was not told."""
 
-    def is_news_after(self, former: FellowState | None) -> bool:
+    def is_update_of(self, former: PeerState | None) -> bool:
         """Tell whether hubs pass this on at once to those who know ``former``.
 
         What a VM knows of the configuration and of the list is no news: it changes on
@@ -82,7 +82,7 @@
         return self != alike
 
 
-def is_repeated(number: int, *, speakers: int, in_round: int) -> bool:
+def repeats_in_round(number: int, *, speakers: int, in_round: int) -> bool:
     """Tell whether a hub repeats the state of one of the VMs that speak to it in this round."""
     rounds = max(NEWS_ROUNDS, math.ceil(speakers / REPEATED_MOST))
     return (number + in_round) % rounds == 0
@@ -90,18 +90,18 @@
 
 @attrs.define(kw_only=True)
 class _Fellow:
-    state: FellowState
+    state: PeerState
     known_at: float
     """When it was last heard, or first read of."""
     heard: bool = False
 
 
 @attrs.define(kw_only=True)
-class FellowTable:
+class PeerTable:
     """The newest life of each VM but this one; times are seconds of the monotonic clock."""
 
     _own: Incarnation
-    silent_s: float = SILENT_S
+    silent_s: float = SILENCE_TIMEOUT_S
     started_at: float = float("-inf")
     """When this VM began to listen."""
     blind_since: Mapping[str, float] = attrs.field(factory=dict)
@@ -111,30 +111,30 @@
     """By the random number of each life, which is how digests name it."""
 
     @property
-    def states(self) -> tuple[FellowState, ...]:
+    def states(self) -> tuple[PeerState, ...]:
         """What is known of every fellow, heard or registered."""
         return tuple(fellow.state for fellow in self._fellows.values())
 
-    def at_most(self, now: float) -> int:
+    def max_fleet_size(self, now: float) -> int:
         """Give how many VMs there may be, this one among them.
 
         A VM that has just started knows of few. Taken for the whole fleet, they would let
         each of 69 VMs that restart together spend what is meant for all of them.
         """
         known = len(self._fellows) + 1
-        settled = now - self.started_at >= KNOWN_AFTER_S
+        settled = now - self.started_at >= DISCOVERY_S
         return known if settled else max(known, FLEET_AT_START)
 
-    def present(self, now: float) -> tuple[FellowState, ...]:
+    def present(self, now: float) -> tuple[PeerState, ...]:
         """Give the fellows that are not silent."""
         return tuple(f.state for f in self._fellows.values() if not self._is_silent(f, now))
 
-    def find(self, name: str) -> FellowState | None:
+    def find(self, name: str) -> PeerState | None:
         """Give what is known of a VM, or None."""
         fellow = self._fellows.get(name)
         return fellow.state if fellow else None
 
-    def heard(self, state: FellowState, now: float) -> bool:
+    def record_state(self, state: PeerState, now: float) -> bool:
         """Take what a VM says of itself; gives True for a life that was not heard before."""
         if state.life.name == self._own.name:
             return False
@@ -144,7 +144,7 @@
         self._put(_Fellow(state=state, known_at=now, heard=True))
         return known is None or known.state.life != state.life or not known.heard
 
-    def seen(self, numbers: Iterable[int], now: float) -> bool:
+    def record_digest(self, numbers: Iterable[int], now: float) -> bool:
         """Take the lives that a hub has heard; gives False where one is not known here."""
         all_known = True
         for number in numbers:
@@ -156,7 +156,7 @@
                 all_known = False
         return all_known
 
-    def registered(self, state: FellowState, now: float) -> None:
+    def record_registration(self, state: PeerState, now: float) -> None:
         """Take an entry of the register; what the VM itself said goes before it."""
         if state.life.name == self._own.name:
             return
@@ -164,7 +164,7 @@
         if known is None or known.state.life < state.life:
             self._put(_Fellow(state=state, known_at=now))
 
-    def offered(self, now: float) -> tuple[FellowState, ...]:
+    def accepting_callers(self, now: float) -> tuple[PeerState, ...]:
         """Give the VMs that callers may be sent to."""
         return tuple(
             state for state in self.present(now) if state.takes_callers and not state.leaving
@@ -185,7 +185,7 @@
         self._fellows[life.name] = fellow
         self._names[life.nonce] = life.name
 
-    def _is_former(self, state: FellowState, known: _Fellow, now: float) -> bool:
+    def _is_former(self, state: PeerState, known: _Fellow, now: float) -> bool:
         """Tell whether a word is of a life before the known one.
 
         Lives are ordered by the time of day, which may jump back: then a VM that has
@@ -197,5 +197,5 @@
     def _is_silent(self, fellow: _Fellow, now: float) -> bool:
         blind_since = self.blind_since.get(fellow.state.data_center)
         if blind_since is not None:
-            now = max(blind_since, now - BLIND_MOST_S)
+            now = max(blind_since, now - MAX_BLIND_S)
         return now - fellow.known_at > self.silent_s
--- a/lagoonlever/decisions/fleet/news_paths.py
+++ b/lagoonlever/decisions/fleet/update_routing.py
@@ -11,11 +11,11 @@
 
 from collections.abc import Callable, Collection, Iterable
 
-from lagoonlever.decisions.fleet.fellows import FellowState
+from lagoonlever.decisions.fleet.peer_table import PeerState
 from lagoonlever.decisions.fleet.roles import Roles
 from lagoonlever.decisions.streams.booked_runs import BookedRun
 
-DIRECT_MOST = 120
+MAX_DIRECT_VMS = 120
 """Up to this many VMs each tells all others itself.
 
 Hubs add a hop, and news that comes late costs worse placements: measured on 69 VMs,
@@ -23,35 +23,35 @@
 """
 
 
-def tells_directly(present: int) -> bool:
+def sends_directly(present: int) -> bool:
     """Tell whether a fleet of so many other VMs is told without hubs."""
-    return present <= DIRECT_MOST
+    return present <= MAX_DIRECT_VMS
 
 
-def pushed_to(
-    known: Collection[FellowState], *, data_center: str, far_hubs: Iterable[str]
-) -> tuple[FellowState, ...]:
+def push_recipients(
+    known: Collection[PeerState], *, data_center: str, far_hubs: Iterable[str]
+) -> tuple[PeerState, ...]:
     """Give the VMs that a reader in ``data_center`` tells of a change.
 
     ``known`` are all VMs, also those that were not heard of late: one that seems silent
     may only be behind a slow link, and would go on with what was taken away. ``far_hubs``
     are all hubs of the other data centres, so that one of them may be dead.
     """
-    if tells_directly(len(known)):
+    if sends_directly(len(known)):
         return tuple(known)
     hubs = frozenset(far_hubs)
     return tuple(s for s in known if s.data_center == data_center or s.life.name in hubs)
 
 
-def passed_on_to(
-    known: Collection[FellowState], *, data_center: str, source: str, is_hub: bool
-) -> tuple[FellowState, ...]:
+def forward_recipients(
+    known: Collection[PeerState], *, data_center: str, source: str, is_hub: bool
+) -> tuple[PeerState, ...]:
     """Give the VMs that a VM in ``data_center`` passes news on to that was new to it.
 
     Only a hub does, and only with news from elsewhere: a reader nearby has told all VMs
     of the data centre itself.
     """
-    if not is_hub or tells_directly(len(known)):
+    if not is_hub or sends_directly(len(known)):
         return ()
     told_by = next((state for state in known if state.life.name == source), None)
     if told_by is None or told_by.data_center == data_center:
@@ -59,18 +59,18 @@
     return tuple(s for s in known if s.data_center == data_center and s.life.name != source)
 
 
-def book_holders(roles: Roles | None, *, own: str, present: int) -> tuple[str, ...]:
+def placement_hubs(roles: Roles | None, *, own: str, present: int) -> tuple[str, ...]:
     """Give the VMs to ask for a place, nearest first; none where this VM holds the book itself.
 
-    Up to ``DIRECT_MOST`` VMs every one hears of all runs. Beyond, the hubs do: each run told
+    Up to ``MAX_DIRECT_VMS`` VMs every one hears of all runs. Beyond, the hubs do: each run told
     to everyone took more of a VM's time than its own callers.
     """
-    if roles is None or tells_directly(present) or roles.is_hub:
+    if roles is None or sends_directly(present) or roles.is_hub:
         return ()
     return tuple(hub for hub in roles.hubs if hub != own)
 
 
-def concerned_by_losses(
+def vms_affected_by_losses(
     lost: Collection[str],
     runs: Iterable[BookedRun],
     *,
@@ -92,7 +92,7 @@
     )
 
 
-def hubs_told(roles: Roles, *, own: str, source: str) -> tuple[str, ...]:
+def hub_recipients(roles: Roles, *, own: str, source: str) -> tuple[str, ...]:
     """Give the hubs that this VM tells what ``source``, itself perhaps, has told it.
 
     For news that each VM may have and few need: a VM tells its own hubs, and these the others.
--- a/lagoonlever/decisions/membership/table.py
+++ b/lagoonlever/decisions/membership/table.py
@@ -15,7 +15,7 @@
 from lagoonlever.decisions.membership.membership import Member, MemberState
 from lagoonlever.http.messages import Address
 from lagoonlever.identity import Incarnation
-from lagoonlever.peers.messages_membership import MemberNews, Status, Verdict
+from lagoonlever.peers.messages_membership import MemberUpdate, Status, Verdict
 
 BUCKETS = 16
 MAX_LOAD_AGE_S = 120
@@ -25,7 +25,7 @@
 
 
 @attrs.define(kw_only=True, eq=False)
-class Record:
+class MemberRecord:
     """One known life of a member; times in seconds of the own monotonic clock."""
 
     incarnation: Incarnation
@@ -95,9 +95,9 @@
             load=self.load if self.load_known(now) else usual_load,
         )
 
-    def news(self, now: float) -> MemberNews:
+    def news(self, now: float) -> MemberUpdate:
         """Give what peers are told."""
-        return MemberNews(
+        return MemberUpdate(
             name=self.incarnation.name,
             started_ms=self.incarnation.started_ms,
             nonce=self.incarnation.nonce,
@@ -111,7 +111,7 @@
             load_age_s=round(min(now - self.load_at, MAX_LOAD_AGE_S + 1)),
         )
 
-    def merge(self, news: MemberNews, now: float) -> bool:
+    def merge(self, news: MemberUpdate, now: float) -> bool:
         """Join news of the same life; tells whether peers should hear of it."""
         self._merge_load(news, now)
         return self.merge_verdict(news.verdict, now)
@@ -156,16 +156,16 @@
         unheralded = verdict.status is Status.DEAD and self.status is Status.ALIVE
         return Status.SUSPECT if unheralded and not verdict.leaving else verdict.status
 
-    def _merge_load(self, news: MemberNews, now: float) -> None:
+    def _merge_load(self, news: MemberUpdate, now: float) -> None:
         reported_at = now - news.load_age_s
         if news.load_age_s <= MAX_LOAD_AGE_S and reported_at > self.load_at:
             self.load = news.load_percent / 100
             self.load_at = reported_at
 
 
-def record_of(news: MemberNews, now: float) -> Record:
+def record_of(news: MemberUpdate, now: float) -> MemberRecord:
     """Give the record of a life heard of for the first time."""
-    record = Record(
+    record = MemberRecord(
         incarnation=news.incarnation,
         data_center=news.data_center,
         http=news.http_address,
@@ -184,9 +184,9 @@
 class MemberTable:
     """The newest known life of each name."""
 
-    _records: dict[str, Record] = attrs.field(factory=dict)
+    _records: dict[str, MemberRecord] = attrs.field(factory=dict)
 
-    def __iter__(self) -> Iterator[Record]:
+    def __iter__(self) -> Iterator[MemberRecord]:
         return iter(self._records.values())
 
     @property
@@ -207,20 +207,20 @@
                 totals[record.bucket] ^= record.digest
         return tuple(totals)
 
-    def named(self, name: str) -> Record | None:
+    def find_by_name(self, name: str) -> MemberRecord | None:
         """Give the newest known life of a name."""
         return self._records.get(name)
 
-    def find(self, incarnation: Incarnation) -> Record | None:
+    def find(self, incarnation: Incarnation) -> MemberRecord | None:
         """Give the record of exactly this life."""
         record = self._records.get(incarnation.name)
         return record if record is not None and record.incarnation == incarnation else None
 
-    def put(self, record: Record) -> None:
+    def put(self, record: MemberRecord) -> None:
         """Set the newest life of a name."""
         self._records[record.incarnation.name] = record
 
-    def differing(self, buckets: tuple[int, ...]) -> list[Record]:
+    def differing(self, buckets: tuple[int, ...]) -> list[MemberRecord]:
         """Give the members, dead ones too, of the buckets whose digests differ."""
         own = self.buckets
         if len(buckets) != BUCKETS:
--- a/lagoonlever/decisions/targets/call_coordinators.py
+++ b/lagoonlever/decisions/targets/call_coordinators.py
@@ -14,7 +14,7 @@
 
 from collections.abc import Iterable
 
-from lagoonlever.decisions.fleet.rendezvous import ranked
+from lagoonlever.decisions.fleet.rendezvous import rank_by_hash
 
 RUNNERS_PER_COORDINATOR = 6
 """The maximum number of runners in a group.
@@ -26,7 +26,7 @@
 
 def runner_groups(service: str, runners: Iterable[str]) -> tuple[tuple[str, ...], ...]:
     """Return the runners of a service in groups, each of which has its own coordinator."""
-    ordered = ranked(runners, purpose=f"calls {service}")
+    ordered = rank_by_hash(runners, purpose=f"calls {service}")
     count = -(-len(ordered) // RUNNERS_PER_COORDINATOR)
     return tuple(tuple(ordered[number::count]) for number in range(count))
 
@@ -36,4 +36,4 @@
 
     The first VM is the group's coordinator; the next ones replace it where it does not answer.
     """
-    return ranked(vms, purpose=f"calls {service} {group}")
+    return rank_by_hash(vms, purpose=f"calls {service} {group}")
--- a/lagoonlever/decisions/targets/limit_permits.py
+++ b/lagoonlever/decisions/targets/limit_permits.py
@@ -20,7 +20,7 @@
 
 import attrs
 
-from lagoonlever.decisions.fleet.rendezvous import ranked
+from lagoonlever.decisions.fleet.rendezvous import rank_by_hash
 
 LEAST_PER_S = 0.25
 """A target that reports a lower limit, or none at all, still gets this many requests per second.
@@ -97,7 +97,7 @@
 
     With a single VM there is none to stand in.
     """
-    return ranked(vms, purpose=f"limit {target}")[:2]
+    return rank_by_hash(vms, purpose=f"limit {target}")[:2]
 
 
 @attrs.define(kw_only=True)
--- a/lagoonlever/gateway/knowledge.py
+++ b/lagoonlever/gateway/knowledge.py
@@ -13,9 +13,9 @@
 import msgspec
 import trio
 
-from lagoonlever.decisions.fleet.fellows import FellowState
-from lagoonlever.decisions.fleet.news_paths import passed_on_to, pushed_to
+from lagoonlever.decisions.fleet.peer_table import PeerState
 from lagoonlever.decisions.fleet.roles import Roles
+from lagoonlever.decisions.fleet.update_routing import forward_recipients, push_recipients
 from lagoonlever.decisions.targets.listed_target import ListedTarget, TargetChange
 from lagoonlever.gateway import events
 from lagoonlever.gateway.beliefs import Beliefs
@@ -105,7 +105,7 @@
     def push(self, news: object) -> None:
         """Tell the others what this VM has read, itself or through hubs elsewhere."""
         roles = self._roles.value
-        receivers = pushed_to(
+        receivers = push_recipients(
             self._beliefs.fellows.states,
             data_center=self._data_center,
             far_hubs=roles.other_hubs if roles is not None else (),
@@ -115,7 +115,7 @@
     def pass_on(self, news: object, source: str) -> None:
         """Tell the VMs nearby what another VM told and was new here, where that is a hub's part."""
         roles = self._roles.value
-        receivers = passed_on_to(
+        receivers = forward_recipients(
             self._beliefs.fellows.states,
             data_center=self._data_center,
             source=source,
@@ -129,7 +129,7 @@
         return self._beliefs.book.data_center
 
     async def _receive_states(self) -> None:
-        async for received in self._bus.subscribe(FellowState):
+        async for received in self._bus.subscribe(PeerState):
             self._compare(received.message)
 
     async def _receive_digests(self) -> None:
@@ -138,7 +138,7 @@
                 for state in digest.news:
                     self._compare(state)
 
-    def _compare(self, state: FellowState) -> None:
+    def _compare(self, state: PeerState) -> None:
         """Ask a VM that knows more, once a push had time to tell."""
         now = self._timers.now
         targets = self._beliefs.targets
--- a/lagoonlever/gateway/register.py
+++ b/lagoonlever/gateway/register.py
@@ -8,7 +8,7 @@
 import logbook
 import msgspec
 
-from lagoonlever.decisions.fleet.fellows import FellowState, FellowTable
+from lagoonlever.decisions.fleet.peer_table import PeerState, PeerTable
 from lagoonlever.gateway import events
 from lagoonlever.http.messages import Address
 from lagoonlever.identity import Incarnation
@@ -33,7 +33,7 @@
     return f"{REGISTER_PREFIX}{own}"
 
 
-def encode_entry(state: FellowState) -> bytes:
+def encode_entry(state: PeerState) -> bytes:
     """Give the value that a VM writes under its key."""
     entry = RegisterEntry(
         callers=str(state.callers), bus=str(state.bus), data_center=state.data_center
@@ -45,7 +45,7 @@
 class Register:
     """Takes the entries into the table of fellows."""
 
-    _fellows: FellowTable
+    _fellows: PeerTable
     _timers: TimerService
 
     def read(self, entries: Iterable[KeyValue]) -> None:
@@ -59,7 +59,7 @@
             return
         try:
             read = msgspec.json.decode(entry.value, type=RegisterEntry)
-            state = FellowState(
+            state = PeerState(
                 life=life,
                 data_center=read.data_center,
                 callers=Address.parse(read.callers),
@@ -68,7 +68,7 @@
         except (msgspec.MsgspecError, ValueError) as error:
             events.FELLOW_UNREADABLE.log(log, error=f"{entry.key}: {error}")
             return
-        self._fellows.registered(state, self._timers.now)
+        self._fellows.record_registration(state, self._timers.now)
         events.FELLOW_LISTED.log(log, vm=life.name, life=str(life), state="registered")
 
 
