--- a/lagoonlever/bench/call_places_model.py
+++ b/lagoonlever/bench/call_places_model.py
@@ -1,7 +1,7 @@
 """A model of calls from many VMs at few runners, under three ways to choose a runner.
 
 ``own``: each VM by its own few outstanding calls; ``news``: by loads that all VMs are told of
-every 0.1 s; ``line``: by a ``CallLine`` at one of them, with messages that may be lost.
+every 0.1 s; ``line``: by a ``CallQueue`` at one of them, with messages that may be lost.
 """
 
 from __future__ import annotations
@@ -14,8 +14,12 @@
 
 import attrs
 
-from lagoonlever.decisions.admission.call_line import CallEnd, CallLine, LineAsk
-from lagoonlever.decisions.admission.room import RefusedWithReturn, RoomAsk, RoomGiven
+from lagoonlever.decisions.admission.call_queue import CallEnd, CallQueue, SlotRequest
+from lagoonlever.decisions.admission.capacity import (
+    CapacityGranted,
+    CapacityRequest,
+    RejectedWithRetryAfter,
+)
 from lagoonlever.decisions.admission.runners import Runners
 from lagoonlever.decisions.targets.reported_load import ReportedLoad
 
@@ -82,7 +86,7 @@
     )
     calls: list[ModelCall] = attrs.field(factory=list)
     messages: int = 0
-    line: CallLine = attrs.field(factory=CallLine)
+    line: CallQueue = attrs.field(factory=CallQueue)
     _events: list[tuple[float, int, Callable[[], None]]] = attrs.field(factory=list)
     _order: itertools.count[int] = attrs.field(factory=itertools.count)
     _now: float = 0.0
@@ -150,26 +154,26 @@
         self.messages += 2
         if self._lost():
             return
-        room = RoomAsk(
-            request=str(call.number),
+        room = CapacityRequest(
+            request_id=str(call.number),
             service="apps",
             rank=0,
-            arrived=call.arrived,
+            arrived_at=call.arrived,
             start_by=call.arrived + AIM_S - self.margin * self.work_s,
             end_by=call.arrived + DEADLINE_S,
             repeatable=call.repeatable,
         )
         line.retain(self._alive())
-        outcome = line.ask(LineAsk(room=room), self._now)
+        outcome = line.request_slot(SlotRequest(capacity=room), self._now)
         self._tell(call, outcome)
         self._look()
 
     def _tell(self, call: ModelCall, outcome: object) -> None:
         if self._lost() or call.runs or call.refused_at is not None:
             return
-        if isinstance(outcome, RoomGiven):
+        if isinstance(outcome, CapacityGranted):
             self._send(call, outcome.target)
-        elif isinstance(outcome, RefusedWithReturn):
+        elif isinstance(outcome, RejectedWithRetryAfter):
             call.refused_at = self._now
 
     def _look(self) -> None:
@@ -178,10 +182,10 @@
         self.line.retain(self._alive())
         for news in self.line.tick(self._now):
             self.messages += 1
-            self._tell(self.calls[int(news.request)], news.outcome)
+            self._tell(self.calls[int(news.request_id)], news.outcome)
 
     def _desk_dies(self) -> None:
-        self.line = CallLine()
+        self.line = CallQueue()
 
     def _lost(self) -> bool:
         return self._rng.random() < self.loss
@@ -231,5 +235,5 @@
             return
         told = self.runners[name].says(load)
         end = CallEnd.ANSWERED
-        self.line.ended(str(call.number), name, end, self._now, seconds=seconds, load=told)
+        self.line.record_end(str(call.number), name, end, self._now, seconds=seconds, load=told)
         self._look()
--- a/lagoonlever/gateway/repeatable_calls.py
+++ b/lagoonlever/gateway/repeatable_calls.py
@@ -5,9 +5,9 @@
 import attrs
 import trio
 
+from lagoonlever.decisions.admission.capacity import RejectedWithRetryAfter
 from lagoonlever.decisions.admission.hedging import HedgedCall, HedgeDelay, Send, Stop, Wait
 from lagoonlever.decisions.admission.retry_window import RetryWindow
-from lagoonlever.decisions.admission.room import RefusedWithReturn
 from lagoonlever.decisions.admission.runners import Runners
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS, gives
 from lagoonlever.decisions.shares.budgets import RetryBudget
@@ -75,11 +75,11 @@
         """The runner of the place."""
         return (self._next.target,) if self._next else ()
 
-    async def first(self) -> RefusedWithReturn | None:
+    async def first(self) -> RejectedWithRetryAfter | None:
         """Get a place for the first attempt, or be refused."""
         return self._got(await self._exchange.place(self._call)) if self.is_on else None
 
-    async def extra(self, *, beside: bool, tried: tuple[str, ...]) -> RefusedWithReturn | None:
+    async def extra(self, *, beside: bool, tried: tuple[str, ...]) -> RejectedWithRetryAfter | None:
         """Get a place for a further attempt: ``beside`` an open one only if that is in trouble."""
         if not self.is_on:
             return None
@@ -100,8 +100,8 @@
         if place is not None:
             self._exchange.places.unused(place)
 
-    def _got(self, outcome: PlaceOutcome) -> RefusedWithReturn | None:
-        if isinstance(outcome, RefusedWithReturn):
+    def _got(self, outcome: PlaceOutcome) -> RejectedWithRetryAfter | None:
+        if isinstance(outcome, RejectedWithRetryAfter):
             return outcome
         self._next = outcome
         # Nobody gives out places now: the VM chooses by itself.
@@ -124,7 +124,7 @@
         """Give the caller the answer of a target, or tell why there is none."""
         call = CallRecord(accepted=accepted)
         window = self._budgets.of_calls(accepted.service)
-        window.request(self._exchange.timers.now)
+        window.record_request(self._exchange.timers.now)
         async with open_work_nursery() as nursery:
             nursery.start_soon(
                 cancel_when_gone,
@@ -186,7 +186,7 @@
         if send.number == 1:
             return None
         now = self._exchange.timers.now
-        window.repeat(now)
+        window.record_retry(now)
         return now
 
     def _hedged(self, call: CallRecord, window: RetryWindow, place: _Places) -> HedgedCall:
@@ -238,7 +238,7 @@
         now = self._exchange.timers.now
         call.detail = describe(ended.result)
         if isinstance(ended.result, Held | NotSent) and ended.counted_at is not None:
-            window.take_back(ended.counted_at)
+            window.cancel_retry(ended.counted_at)
         if isinstance(ended.result, Held):
             hedged.on_unsent(ended.runner)
             return None
