--- a/lagoonlever/decisions/targets/load_view.py
+++ b/lagoonlever/decisions/targets/load_view.py
@@ -156,7 +156,7 @@
         for target in self._restarted_at.keys() - targets:
             del self._restarted_at[target]
 
-    def word(self, target: str) -> LoadReport | None:
+    def latest_report(self, target: str) -> LoadReport | None:
         """Return the newest load report of a target's present process, or None."""
         state = self._states.get(target)
         return state.report if state else None
--- a/lagoonlever/gateway/peers.py
+++ b/lagoonlever/gateway/peers.py
@@ -111,7 +111,7 @@
         now = self._timers.now
         self._beliefs.book.flows(request, now)
         run = self._beliefs.book.run_of(request)
-        word = self._beliefs.loads.word(run.engine) if run is not None else None
+        word = self._beliefs.loads.latest_report(run.engine) if run is not None else None
         self._relay.tell(RunFlows(request=request, load=EngineWord.of(word, now)))
 
     def end(self, ended: RunEnded) -> None:
--- a/lagoonlever/tests/load_view_tests.py
+++ b/lagoonlever/tests/load_view_tests.py
@@ -186,7 +186,7 @@
     @invariant()
     def a_new_incarnation_starts_with_no_report(self) -> None:
         if self.reported is None:
-            assert self.loads.word("t") is None
+            assert self.loads.latest_report("t") is None
             assert self.loads.estimate("t", self.now).running == len(self.open)
 
 
