--- a/lagoonlever/decisions/targets/reported_load.py
+++ b/lagoonlever/decisions/targets/reported_load.py
@@ -19,7 +19,7 @@
     """The slowdown factor: work takes this many times as long as usual; None if not reported."""
 
     @property
-    def tells_slowness(self) -> bool:
+    def reports_slowness(self) -> bool:
         """Whether the target reports its machine's slowdown factor."""
         return self.slowness is not None
 
