--- a/lagoonlever/decisions/targets/load_estimate.py
+++ b/lagoonlever/decisions/targets/load_estimate.py
@@ -48,5 +48,5 @@
     def estimate(self, target: str, now: float) -> LoadEstimate:
         """Return the estimated load of a target; ``now`` in seconds of the monotonic clock."""
 
-    def tells_slowness(self, target: str) -> bool:
+    def reports_slowness(self, target: str) -> bool:
         """Check whether the target's present process reports its machine's slowdown factor."""
