--- a/lagoonlever/decisions/engines/uneven_engines.py
+++ b/lagoonlever/decisions/engines/uneven_engines.py
@@ -51,7 +51,7 @@
 
     def counts(self, engine: str) -> bool:
         """Tell whether an engine is judged by its own pace."""
-        return self._loads.tells_slowness(engine) and _by_own_pace()
+        return self._loads.reports_slowness(engine) and _by_own_pace()
 
     def relative(self, service: str, engine: str, now: float) -> float:
         """Give how many times as long as its service an engine takes."""
--- a/lagoonlever/decisions/targets/load_view.py
+++ b/lagoonlever/decisions/targets/load_view.py
@@ -166,7 +166,7 @@
         state = self._states.get(target)
         return len(state.open) if state else 0
 
-    def tells_slowness(self, target: str) -> bool:
+    def reports_slowness(self, target: str) -> bool:
         """Check whether the target's present process reports its machine's slowdown factor."""
         state = self._states.get(target)
         return state is not None and state.reports_slowness
--- a/lagoonlever/gateway/call_places.py
+++ b/lagoonlever/gateway/call_places.py
@@ -116,7 +116,7 @@
     def serves(self, service: str) -> bool:
         """Tell whether places at the runners of a service are given out."""
         loads = self._beliefs.loads
-        return any(loads.tells_slowness(each.id) for each in self._serving(service))
+        return any(loads.reports_slowness(each.id) for each in self._serving(service))
 
     async def take(self, accepted: Accepted, *, avoid: Collection[str] = ()) -> PlaceOutcome:
         """Get a place, once there is one."""
--- a/lagoonlever/tests/load_view_tests.py
+++ b/lagoonlever/tests/load_view_tests.py
@@ -86,7 +86,7 @@
     assert loads.estimate("t", 1.0).running == 4
     assert loads.record_relayed_report(report(running=2, at=1.5))
     assert loads.estimate("t", 1.6).source is LoadSource.NEWS
-    assert not loads.tells_slowness("t")
+    assert not loads.reports_slowness("t")
 
 
 def test_an_answer_of_the_former_process_is_ignored_for_the_new_one() -> None:
@@ -97,7 +97,7 @@
     assert not loads.record_report(report(running=6, at=1.1, slowness=2.5), asked_at=0.9)
     loads.ended(ticket, 1.2)
     assert loads.estimate("t", 1.3).running == 0
-    assert not loads.tells_slowness("t")
+    assert not loads.reports_slowness("t")
 
 
 def test_the_error_of_the_count_grows_with_the_age_of_its_report() -> None:
