--- a/lagoonlever/decisions/targets/registry.py
+++ b/lagoonlever/decisions/targets/registry.py
@@ -203,7 +203,7 @@
             return True
         return self._announcements.is_leaving(target.id)
 
-    def read(
+    def apply_list(
         self,
         targets: Iterable[ListedTarget],
         *,
--- a/lagoonlever/gateway/learner.py
+++ b/lagoonlever/gateway/learner.py
@@ -61,7 +61,7 @@
             return ()
         listed = tuple(targets)
         former = {target.id: registry.start_of(target.id) for target in listed}
-        changes = registry.read(
+        changes = registry.apply_list(
             listed, revision=revision, now=self._timers.now, store_back_at=store_back_at
         )
         for target in listed:
--- a/lagoonlever/tests/replacements_tests.py
+++ b/lagoonlever/tests/replacements_tests.py
@@ -27,7 +27,9 @@
         address=Address(host="10.0.0.1", port=80),
         data_center="a",
     )
-    made.read([attrs.evolve(old, revision=at(5))], revision=at(10), now=0.0, store_back_at=None)
+    made.apply_list(
+        [attrs.evolve(old, revision=at(5))], revision=at(10), now=0.0, store_back_at=None
+    )
     return made
 
 
--- a/lagoonlever/tests/run_placement_tests.py
+++ b/lagoonlever/tests/run_placement_tests.py
@@ -44,7 +44,7 @@
 def view(*listed: ListedTarget) -> PlacementView:
     targets = TargetRegistry()
     listed = listed or (engine("e1", "a"), engine("e2", "b"), engine("e3", "c"))
-    targets.read(listed, revision=at(1), now=0.0, store_back_at=None)
+    targets.apply_list(listed, revision=at(1), now=0.0, store_back_at=None)
     return PlacementView(
         book=EngineBook(rng=random.Random(1), data_center="a"),
         window=RetryWindow(ratio=0.8, window_s=10.0, slack=5.0),
--- a/lagoonlever/tests/target_registry_tests.py
+++ b/lagoonlever/tests/target_registry_tests.py
@@ -24,7 +24,7 @@
 
 def registry(*names: str) -> TargetRegistry:
     made = TargetRegistry()
-    made.read([target(name) for name in names], revision=at(10), now=0.0, store_back_at=None)
+    made.apply_list([target(name) for name in names], revision=at(10), now=0.0, store_back_at=None)
     return made
 
 
@@ -60,7 +60,7 @@
     The target writes its entry again within two seconds, and stays in use until then.
     """
     listed = registry("e1", "e2")
-    listed.read([target("e2")], revision=at(20), now=50.0, store_back_at=50.0)
+    listed.apply_list([target("e2")], revision=at(20), now=50.0, store_back_at=50.0)
     assert listed.takes_work("e1")
     change(listed, "e1", target("e1"), revision=at(21), now=51.5, store_back_at=50.0)
     listed.expire(60.0)
@@ -93,7 +93,7 @@
     A peer has sent a newer list, and then the VM's own watch of the store repeats older changes.
     """
     listed = registry("e1")
-    listed.read([], revision=at(30), now=1.0, store_back_at=None)
+    listed.apply_list([], revision=at(30), now=1.0, store_back_at=None)
     change(listed, "e1", target("e1"), revision=at(25), now=1.1, store_back_at=None)
     assert not listed.takes_work("e1")
 
@@ -161,7 +161,7 @@
     under its id and reports its new start. It must no longer count as replaced.
     """
     listed = TargetRegistry()
-    listed.read([started("e1", 100)], revision=at(10), now=0.0, store_back_at=None)
+    listed.apply_list([started("e1", 100)], revision=at(10), now=0.0, store_back_at=None)
     listed.replaced("e1", 1.0)
     change(listed, "e1", started("e1", 100), revision=at(11), now=1.1, store_back_at=None)
     assert not listed.takes_work("e1")
@@ -171,7 +171,7 @@
 
 def test_the_start_of_a_target_is_known_while_it_is_away() -> None:
     listed = TargetRegistry()
-    listed.read([started("e1", 100)], revision=at(10), now=0.0, store_back_at=None)
+    listed.apply_list([started("e1", 100)], revision=at(10), now=0.0, store_back_at=None)
     change(listed, "e1", None, revision=at(11), now=1.0, store_back_at=None)
     assert listed.start_of("e1") == 100
     change(listed, "e1", started("e1", 200), revision=at(12), now=2.0, store_back_at=None)
@@ -182,7 +182,7 @@
 def test_an_entry_of_before_does_not_bring_a_former_process_back() -> None:
     """Guards against an old entry that is read after a target has reported its restart itself."""
     listed = TargetRegistry()
-    listed.read([started("e1", 100)], revision=at(10), now=0.0, store_back_at=None)
+    listed.apply_list([started("e1", 100)], revision=at(10), now=0.0, store_back_at=None)
     assert listed.started_again("e1", 200)
     change(listed, "e1", started("e1", 100), revision=at(11), now=1.0, store_back_at=None)
     assert listed.start_of("e1") == 200
@@ -199,7 +199,7 @@
 def restarted_before_a_restore() -> TargetRegistry:
     """Return a list with a target that restarted, at 200, just before the store was restored."""
     listed = TargetRegistry()
-    listed.read([started("e1", 100)], revision=of_era(1, 10), now=0.0, store_back_at=None)
+    listed.apply_list([started("e1", 100)], revision=of_era(1, 10), now=0.0, store_back_at=None)
     change(listed, "e1", started("e1", 200), revision=of_era(1, 30), now=1.0, store_back_at=None)
     return listed
 
@@ -305,7 +305,7 @@
     listed = registry("e1", "e2")
     copied = [target("e2")] if was_missing else [target("e1"), target("e2")]
     copied = [attrs.evolve(each, revision=of_era(2, 5)) for each in copied]
-    listed.read(copied, revision=of_era(2, 8), now=5.0, store_back_at=5.0)
+    listed.apply_list(copied, revision=of_era(2, 8), now=5.0, store_back_at=5.0)
     is_update = change(
         listed, "e1", target("e1"), revision=of_era(2, 9), now=5.5, store_back_at=5.0
     )
