--- a/lagoonlever/decisions/targets/registry.py
+++ b/lagoonlever/decisions/targets/registry.py
@@ -234,7 +234,7 @@
         counted = [
             change
             for change in changes
-            if self.change(change, now=now, store_back_at=store_back_at)
+            if self.apply_change(change, now=now, store_back_at=store_back_at)
         ]
         self._as_of = max(self._as_of, revision)
         self._record_versions()
@@ -242,7 +242,9 @@
             self._changed_at = revision
         return tuple(counted)
 
-    def change(self, change: TargetChange, *, now: float, store_back_at: float | None) -> bool:
+    def apply_change(
+        self, change: TargetChange, *, now: float, store_back_at: float | None
+    ) -> bool:
         """Apply one change; return whether it counts now.
 
         It does not if a newer change of the target is known, or if it is a removal that is held.
--- a/lagoonlever/gateway/learner.py
+++ b/lagoonlever/gateway/learner.py
@@ -84,7 +84,7 @@
         former = registry.start_of(change.id)
         if change.target is not None:
             self._note_machine(change.target)
-        counts = registry.change(change, now=self._timers.now, store_back_at=store_back_at)
+        counts = registry.apply_change(change, now=self._timers.now, store_back_at=store_back_at)
         if counts and known is not None:
             self._log_change(change, known)
             self._note_start(change.id, former, source="list")
--- a/lagoonlever/tests/replacements_tests.py
+++ b/lagoonlever/tests/replacements_tests.py
@@ -88,12 +88,12 @@
     listed = registry()
     listed.found("old", "new", 1.0)
     entry = attrs.evolve(listed.find("new"), revision=at(12))
-    listed.change(
+    listed.apply_change(
         TargetChange(id="new", target=entry, revision=at(12)), now=2.0, store_back_at=None
     )
     listed.expire(60.0)
     assert serving(listed) == ["new"]
-    listed.change(
+    listed.apply_change(
         TargetChange(id="new", target=None, revision=at(13)), now=61.0, store_back_at=None
     )
     assert serving(listed) == []
@@ -102,7 +102,7 @@
 def test_a_newer_entry_at_the_address_takes_precedence_over_a_found_process() -> None:
     listed = registry()
     newer = attrs.evolve(listed.find("old"), id="newer", revision=at(11))
-    listed.change(
+    listed.apply_change(
         TargetChange(id="newer", target=newer, revision=at(11)), now=1.0, store_back_at=None
     )
     assert not listed.found("old", "found", 1.1)
--- a/lagoonlever/tests/said_leaving_tests.py
+++ b/lagoonlever/tests/said_leaving_tests.py
@@ -23,7 +23,7 @@
     assert listed.record_leave_announcement("t", started_ms=1, now=0.0)
     entry = attrs.evolve(TARGET, started_ms=2)
     change = TargetChange(id="t", target=entry, revision=Revision(number=5))
-    listed.change(change, now=1.0, store_back_at=None)
+    listed.apply_change(change, now=1.0, store_back_at=None)
     assert listed.takes_work("t")
 
 
@@ -44,7 +44,7 @@
         self.number += 1
         self.entry = entry
         change = TargetChange(id="t", target=entry, revision=Revision(number=self.number))
-        self.listed.change(change, now=self.now, store_back_at=None)
+        self.listed.apply_change(change, now=self.now, store_back_at=None)
 
     @rule()
     def list_it(self) -> None:
--- a/lagoonlever/tests/target_registry_tests.py
+++ b/lagoonlever/tests/target_registry_tests.py
@@ -38,7 +38,7 @@
     store_back_at: float | None,
 ) -> bool:
     made = TargetChange(id=name, target=to, revision=revision)
-    return listed.change(made, now=now, store_back_at=store_back_at)
+    return listed.apply_change(made, now=now, store_back_at=store_back_at)
 
 
 def test_a_target_that_drains_or_was_replaced_takes_no_work() -> None:
@@ -109,7 +109,7 @@
     removals = listed.expire(50.0 + REREGISTRATION_S + 0.01)
     assert [(each.id, each.target) for each in removals] == [("e1", None)]
     other = registry("e1")
-    assert other.change(removals[0], now=60.0, store_back_at=None)
+    assert other.apply_change(removals[0], now=60.0, store_back_at=None)
     assert not other.takes_work("e1")
 
 
@@ -124,7 +124,7 @@
     for order in ((0, 1, 2), (2, 1, 0), (1, 0, 2)):
         listed = registry("e1")
         for place in order:
-            listed.change(changes[place], now=1.0, store_back_at=None)
+            listed.apply_change(changes[place], now=1.0, store_back_at=None)
         views.append([t.id for t in listed.targets])
     assert views == [["e2"]] * 3
 
