--- a/lagoonlever/decisions/targets/registry.py
+++ b/lagoonlever/decisions/targets/registry.py
@@ -149,7 +149,7 @@
         """The services whose versions are tracked."""
         return tuple(self._versions)
 
-    def ordered(self, order: RolloutOrder) -> None:
+    def apply_order(self, order: RolloutOrder) -> None:
         """Apply an operator's order to roll out a version of a service."""
         listed = {t.version for t in self._targets.values() if t.service == order.service}
         self.versions_of(order.service).ordered(order, listed)
--- a/lagoonlever/gateway/rollouts.py
+++ b/lagoonlever/gateway/rollouts.py
@@ -226,7 +226,7 @@
     def _begin(self, order: RolloutOrder, ordered_at: Revision, began_at: float | None) -> Rollout:
         rollout = Rollout(tally=RolloutTally(order=order, ordered_at=ordered_at), began_at=began_at)
         self._known[order.service] = rollout
-        self._beliefs.targets.ordered(order)
+        self._beliefs.targets.apply_order(order)
         events.ROLLOUT_ORDERED.log(
             log,
             service=order.service,
