--- a/lagoonlever/decisions/targets/registry.py
+++ b/lagoonlever/decisions/targets/registry.py
@@ -318,7 +318,7 @@
         others = [t for t in self._targets.values() if t.address == target.address]
         return any(t is not target and self._is_available(t) for t in others)
 
-    def found(self, former_id: str, new_id: str, now: float) -> bool:
+    def adopt_unlisted(self, former_id: str, new_id: str, now: float) -> bool:
         """Use an unlisted process that was found at a lost target's address in its place.
 
         Return whether it is used. It is not if its id is already known, or if the address has a
--- a/lagoonlever/gateway/learner.py
+++ b/lagoonlever/gateway/learner.py
@@ -108,7 +108,7 @@
 
     def take_found(self, former: str, found: str, *, source: str) -> bool:
         """Take a process that has a lost target's place; gives whether it counts."""
-        counts = self._beliefs.targets.found(former, found, self._timers.now)
+        counts = self._beliefs.targets.adopt_unlisted(former, found, self._timers.now)
         if counts:
             events.REPLACEMENT_FOUND.log(log, target=found, former=former, source=source)
         return counts
--- a/lagoonlever/tests/replacements_tests.py
+++ b/lagoonlever/tests/replacements_tests.py
@@ -68,16 +68,16 @@
 def test_engines_that_come_back_during_an_outage_of_the_store_are_used() -> None:
     """Guards against idle engines that restarted under unlisted ids in an outage of the store."""
     listed = registry()
-    assert listed.found("old", "new", 1.0)
+    assert listed.adopt_unlisted("old", "new", 1.0)
     assert serving(listed) == ["new"]
-    assert not listed.found("old", "other", 1.1)
-    assert listed.found("new", "newest", 5.0)
+    assert not listed.adopt_unlisted("old", "other", 1.1)
+    assert listed.adopt_unlisted("new", "newest", 5.0)
     assert serving(listed) == ["newest"]
 
 
 def test_a_found_engine_stays_while_the_store_is_away_and_goes_unless_it_is_listed() -> None:
     listed = registry()
-    listed.found("old", "new", 1.0)
+    listed.adopt_unlisted("old", "new", 1.0)
     listed.expire(20.0, store_away=True)
     assert serving(listed) == ["new"]
     listed.expire(20.0 + UNLISTED_S + 0.1)
@@ -86,7 +86,7 @@
 
 def test_a_found_engine_that_registers_is_listed_as_usual() -> None:
     listed = registry()
-    listed.found("old", "new", 1.0)
+    listed.adopt_unlisted("old", "new", 1.0)
     entry = attrs.evolve(listed.find("new"), revision=at(12))
     listed.apply_change(
         TargetChange(id="new", target=entry, revision=at(12)), now=2.0, store_back_at=None
@@ -105,5 +105,5 @@
     listed.apply_change(
         TargetChange(id="newer", target=newer, revision=at(11)), now=1.0, store_back_at=None
     )
-    assert not listed.found("old", "found", 1.1)
+    assert not listed.adopt_unlisted("old", "found", 1.1)
     assert serving(listed) == ["newer"]
