--- a/lagoonlever/decisions/targets/registry.py
+++ b/lagoonlever/decisions/targets/registry.py
@@ -305,7 +305,7 @@
             return False
         return self._announcements.record(target_id, started_ms=started_ms, now=now)
 
-    def replaced(self, target_id: str, now: float) -> None:
+    def mark_replaced(self, target_id: str, now: float) -> None:
         """Record that another process answers at a target's address, so that the target is gone."""
         if target_id in self._targets:
             self._replaced_at[target_id] = now
--- a/lagoonlever/gateway/learner.py
+++ b/lagoonlever/gateway/learner.py
@@ -128,7 +128,7 @@
         if not registry.takes_work(target_id):
             return
         events.TARGET_REPLACED.log(log, target=target_id, source=source)
-        registry.replaced(target_id, self._timers.now)
+        registry.mark_replaced(target_id, self._timers.now)
 
     def _note_machine(self, target: ListedTarget) -> None:
         """Take the pace of the engine that had a target's address before it."""
--- a/lagoonlever/tests/target_registry_tests.py
+++ b/lagoonlever/tests/target_registry_tests.py
@@ -44,7 +44,7 @@
 def test_a_target_that_drains_or_was_replaced_takes_no_work() -> None:
     listed = registry("e1", "e2", "e3")
     change(listed, "e1", target("e1", draining=True), revision=at(11), now=1.0, store_back_at=None)
-    listed.replaced("e2", 1.0)
+    listed.mark_replaced("e2", 1.0)
     assert [t.id for t in listed.serving("engines")] == ["e3"]
 
 
@@ -162,7 +162,7 @@
     """
     listed = TargetRegistry()
     listed.apply_list([started("e1", 100)], revision=at(10), now=0.0, store_back_at=None)
-    listed.replaced("e1", 1.0)
+    listed.mark_replaced("e1", 1.0)
     change(listed, "e1", started("e1", 100), revision=at(11), now=1.1, store_back_at=None)
     assert not listed.takes_work("e1")
     change(listed, "e1", started("e1", 200), revision=at(12), now=2.0, store_back_at=None)
