--- a/lagoonlever/decisions/targets/registry.py
+++ b/lagoonlever/decisions/targets/registry.py
@@ -272,7 +272,7 @@
         known = self._targets.get(target_id) or self._removed.get(target_id)
         return known.started_ms if known is not None else None
 
-    def started_again(self, target_id: str, started_ms: int) -> bool:
+    def record_restart(self, target_id: str, started_ms: int) -> bool:
         """Record the start that a target itself reports; return whether it has restarted.
 
         The report takes precedence over the target's entry, which may be read later and be older.
--- a/lagoonlever/tests/target_registry_tests.py
+++ b/lagoonlever/tests/target_registry_tests.py
@@ -183,7 +183,7 @@
     """Guards against an old entry that is read after a target has reported its restart itself."""
     listed = TargetRegistry()
     listed.apply_list([started("e1", 100)], revision=at(10), now=0.0, store_back_at=None)
-    assert listed.started_again("e1", 200)
+    assert listed.record_restart("e1", 200)
     change(listed, "e1", started("e1", 100), revision=at(11), now=1.0, store_back_at=None)
     assert listed.start_of("e1") == 200
     change(listed, "e1", started("e1", 200), revision=at(12), now=1.1, store_back_at=None)
@@ -256,7 +256,7 @@
     change(listed, "e1", started("e1", 150), revision=revision, now=5.0, store_back_at=None)
     assert listed.start_of("e1") == (150 if is_new else 200)
     assert listed.takes_work("e1") == is_new
-    assert listed.started_again("e1", 150) != is_new
+    assert listed.record_restart("e1", 150) != is_new
     assert listed.takes_work("e1")
 
 
@@ -285,7 +285,7 @@
     change(listed, "e1", started("e1", 100), revision=at(11), now=1.0, store_back_at=None)
     found = listed.find("e1")
     assert found is not None and not found.has_started_again(None)
-    assert not listed.started_again("e1", 100)
+    assert not listed.record_restart("e1", 100)
 
 
 def test_an_entry_of_another_service_replaces_no_target_at_its_address() -> None:
