--- a/lagoonlever/decisions/targets/named_limits.py
+++ b/lagoonlever/decisions/targets/named_limits.py
@@ -12,7 +12,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class LimitWord:
+class LimitReport:
     """The rate limit that a target reported in an answer."""
 
     per_s: float | None
@@ -21,7 +21,7 @@
     """When it was true, in seconds of the monotonic clock."""
 
     @classmethod
-    def of_answer(cls, per_s: float | None, *, sent_at: float, now: float) -> LimitWord:
+    def of_answer(cls, per_s: float | None, *, sent_at: float, now: float) -> LimitReport:
         """Return the report of an answer that has just arrived.
 
         A report of no limit is dated by ``sent_at``, when its request was sent: the answer may
@@ -35,25 +35,25 @@
 class NamedLimits:
     """The newest limit report of each target that has ever reported a limit."""
 
-    _reports: dict[str, LimitWord] = attrs.field(factory=dict)
+    _reports: dict[str, LimitReport] = attrs.field(factory=dict)
 
     @property
-    def in_force(self) -> dict[str, LimitWord]:
+    def in_force(self) -> dict[str, LimitReport]:
         """The reports of the targets that have a limit now."""
         return {
             target: report for target, report in self._reports.items() if report.per_s is not None
         }
 
-    def of(self, target: str) -> LimitWord | None:
+    def of(self, target: str) -> LimitReport | None:
         """Return the limit that a target has now, or None."""
         report = self._reports.get(target)
         return report if report is not None and report.per_s is not None else None
 
-    def last(self, target: str) -> LimitWord | None:
+    def last(self, target: str) -> LimitReport | None:
         """Return the newest report of a target, also one that there is no limit any more."""
         return self._reports.get(target)
 
-    def learn(self, target: str, report: LimitWord) -> bool:
+    def learn(self, target: str, report: LimitReport) -> bool:
         """Record a report; return whether it changes the limit."""
         known = self._reports.get(target)
         if known is None and report.per_s is None:
--- a/lagoonlever/gateway/permit_exchange.py
+++ b/lagoonlever/gateway/permit_exchange.py
@@ -20,7 +20,7 @@
     SilentVms,
     counters_of,
 )
-from lagoonlever.decisions.targets.named_limits import LimitWord, NamedLimits
+from lagoonlever.decisions.targets.named_limits import LimitReport, NamedLimits
 from lagoonlever.gateway import events
 from lagoonlever.gateway.beliefs import Beliefs
 from lagoonlever.gateway.questions import Questions
@@ -69,7 +69,7 @@
             nursery.start_soon(self._receive_asks, nursery)
             nursery.start_soon(self._questions.receive, PermitTold)
 
-    async def ask(self, target: str, word: LimitWord, *, need: float) -> PermitOutcome:
+    async def ask(self, target: str, word: LimitReport, *, need: float) -> PermitOutcome:
         """Give whether one request may be sent to a target that names a limit."""
         counter, stand_in = self._counters(target)
         if counter is None:
@@ -86,7 +86,7 @@
         return outcome or Denied(wait_s=UNSURE_S)
 
     async def _ask_vm(
-        self, vm: str, target: str, word: LimitWord, need: float
+        self, vm: str, target: str, word: LimitReport, need: float
     ) -> PermitOutcome | None:
         """Give what another VM decides; None where it doesn't answer."""
         state = self._beliefs.fellows.find(vm)
@@ -129,7 +129,7 @@
             return False
         return self._named.learn(told.target, told.word(self._timers.now))
 
-    def told(self, target: str, word: LimitWord) -> WordTold:
+    def told(self, target: str, word: LimitReport) -> WordTold:
         """Give the message of a word that this VM has."""
         started_ms = self._beliefs.targets.start_of(target)
         return WordTold.of(target, word, started_ms=started_ms, now=self._timers.now)
--- a/lagoonlever/gateway/target_limits.py
+++ b/lagoonlever/gateway/target_limits.py
@@ -22,7 +22,7 @@
     PermitOutcome,
 )
 from lagoonlever.decisions.targets.listed_target import ListedTarget
-from lagoonlever.decisions.targets.named_limits import LimitWord, NamedLimits
+from lagoonlever.decisions.targets.named_limits import LimitReport, NamedLimits
 from lagoonlever.gateway import events, metrics
 from lagoonlever.gateway.beliefs import Beliefs
 from lagoonlever.gateway.hub_spread import HubSpread
@@ -85,7 +85,7 @@
         if not head.tells_limit:
             return
         former, now = self._named.of(target), self._timers.now
-        word = LimitWord.of_answer(head.limit_per_s, sent_at=sent_at, now=now)
+        word = LimitReport.of_answer(head.limit_per_s, sent_at=sent_at, now=now)
         if not self._named.learn(target, word):
             return
         self._changed(target, former, source="its own answer")
@@ -187,7 +187,7 @@
         if words:
             self._bus.send(newcomer, LimitsTold(words=tuple(words)))
 
-    def _changed(self, target: str, former: LimitWord | None, *, source: str) -> None:
+    def _changed(self, target: str, former: LimitReport | None, *, source: str) -> None:
         word = self._named.of(target)
         if word is None:
             self._held.forget(target)
@@ -198,7 +198,7 @@
             log, target=target, limit=_told(word), former=_told(former), source=source
         )
 
-    def _tell(self, target: str, word: LimitWord, *, is_limited_as_before: bool) -> None:
+    def _tell(self, target: str, word: LimitReport, *, is_limited_as_before: bool) -> None:
         """Tell all VMs of a limit that begins or ends; of another value, who counts."""
         message = LimitsTold(words=(self._permits.told(target, word),))
         now = self._timers.now
@@ -238,5 +238,5 @@
                 del kept[target]
 
 
-def _told(word: LimitWord | None) -> str:
+def _told(word: LimitReport | None) -> str:
     return "none" if word is None or word.per_s is None else f"{word.per_s:g}/s"
--- a/lagoonlever/peers/messages_limits.py
+++ b/lagoonlever/peers/messages_limits.py
@@ -9,7 +9,7 @@
 import attrs
 
 from lagoonlever.decisions.targets.limit_permits import Denied, Granted, PermitOutcome
-from lagoonlever.decisions.targets.named_limits import LimitWord
+from lagoonlever.decisions.targets.named_limits import LimitReport
 from lagoonlever.http.messages import Address
 from lagoonlever.peers.messages import PEER
 
@@ -25,14 +25,14 @@
     """The start of the target's process, where it is known."""
 
     @classmethod
-    def of(cls, target: str, word: LimitWord, *, started_ms: int | None, now: float) -> WordTold:
+    def of(cls, target: str, word: LimitReport, *, started_ms: int | None, now: float) -> WordTold:
         """Give the message of a word."""
         age_s = max(0.0, now - word.at)
         return cls(target=target, per_s=word.per_s, age_s=age_s, started_ms=started_ms)
 
-    def word(self, now: float) -> LimitWord:
+    def word(self, now: float) -> LimitReport:
         """Give the word by this VM's clock."""
-        return LimitWord(per_s=self.per_s, at=now - self.age_s)
+        return LimitReport(per_s=self.per_s, at=now - self.age_s)
 
 
 @PEER.message("lw")
--- a/lagoonlever/tests/limit_permits_tests.py
+++ b/lagoonlever/tests/limit_permits_tests.py
@@ -22,7 +22,7 @@
     limit_coordinator,
     need_of,
 )
-from lagoonlever.decisions.targets.named_limits import LimitWord, NamedLimits
+from lagoonlever.decisions.targets.named_limits import LimitReport, NamedLimits
 
 MIN_USED = {9: 0.9, 75: 0.8, 195: 0.8, 300: 0.8}
 
@@ -145,10 +145,10 @@
 def test_an_overtaken_answer_without_a_limit_does_not_end_one() -> None:
     """Guards against a burst of requests, as an answer of before a limit arrives after it."""
     named = NamedLimits()
-    assert named.learn("t", LimitWord.of_answer(5.0, sent_at=0.9, now=1.0))
-    assert not named.learn("t", LimitWord.of_answer(None, sent_at=0.8, now=1.1))
+    assert named.learn("t", LimitReport.of_answer(5.0, sent_at=0.9, now=1.0))
+    assert not named.learn("t", LimitReport.of_answer(None, sent_at=0.8, now=1.1))
     assert named.of("t") is not None
-    assert named.learn("t", LimitWord.of_answer(None, sent_at=1.05, now=1.2))
+    assert named.learn("t", LimitReport.of_answer(None, sent_at=1.05, now=1.2))
     assert named.of("t") is None
 
 
@@ -158,14 +158,14 @@
     def __init__(self) -> None:
         super().__init__()
         self.now = 0.0
-        self.reports: list[LimitWord] = []
+        self.reports: list[LimitReport] = []
         self.named = NamedLimits()
-        self.newest: LimitWord | None = None
+        self.newest: LimitReport | None = None
 
     @rule(per_s=st.one_of(st.none(), st.floats(0.0, 1e9)), later=st.floats(0.001, 5.0))
     def report(self, per_s: float | None, later: float) -> None:
         self.now += later
-        self.reports.append(LimitWord(per_s=per_s, at=self.now))
+        self.reports.append(LimitReport(per_s=per_s, at=self.now))
 
     @rule(data=st.data())
     def receive(self, data: st.DataObject) -> None:
