--- a/lagoonlever/decisions/targets/named_limits.py
+++ b/lagoonlever/decisions/targets/named_limits.py
@@ -53,7 +53,7 @@
         """Return the newest report of a target, also one that there is no limit any more."""
         return self._reports.get(target)
 
-    def learn(self, target: str, report: LimitReport) -> bool:
+    def update(self, target: str, report: LimitReport) -> bool:
         """Record a report; return whether it changes the limit."""
         known = self._reports.get(target)
         if known is None and report.per_s is None:
--- a/lagoonlever/gateway/permit_exchange.py
+++ b/lagoonlever/gateway/permit_exchange.py
@@ -127,7 +127,7 @@
         target = self._beliefs.targets.find(told.target)
         if target is None or target.is_later_than(told.started_ms):
             return False
-        return self._named.learn(told.target, told.word(self._timers.now))
+        return self._named.update(told.target, told.word(self._timers.now))
 
     def told(self, target: str, word: LimitReport) -> WordTold:
         """Give the message of a word that this VM has."""
--- a/lagoonlever/gateway/target_limits.py
+++ b/lagoonlever/gateway/target_limits.py
@@ -86,7 +86,7 @@
             return
         former, now = self._named.of(target), self._timers.now
         word = LimitReport.of_answer(head.limit_per_s, sent_at=sent_at, now=now)
-        if not self._named.learn(target, word):
+        if not self._named.update(target, word):
             return
         self._changed(target, former, source="its own answer")
         self._tell(target, word, is_limited_as_before=former is not None and word.per_s is not None)
