--- a/lagoonlever/bench/target_limits_model.py
+++ b/lagoonlever/bench/target_limits_model.py
@@ -17,7 +17,7 @@
     FIRST_NEED,
     Granted,
     HeldTargets,
-    PermitBook,
+    PermitBuckets,
 )
 
 WINDOW_S = 4.0
@@ -91,7 +91,7 @@
     _names: list[str] = attrs.field(init=False)
     _noticed: dict[str, float] = attrs.field(factory=dict)
     _buckets: dict[tuple[str, str], _Bucket] = attrs.field(factory=dict)
-    _books: dict[str, PermitBook] = attrs.field(factory=dict)
+    _books: dict[str, PermitBuckets] = attrs.field(factory=dict)
     _held: dict[str, HeldTargets] = attrs.field(factory=dict)
     _ranks: dict[str, list[str]] = attrs.field(factory=dict)
     _arrived: dict[str, list[float]] = attrs.field(factory=dict)
@@ -154,7 +154,7 @@
         if counter != vm and (is_gone or self._rng.random() < 2 * self._case.lost):
             held.hold(target, need=FIRST_NEED, until=now + UNSURE_S)
             return False
-        book = self._books.setdefault(counter, PermitBook())
+        book = self._books.setdefault(counter, PermitBuckets())
         outcome = book.ask(target, per_s=self._case.per_s, need=FIRST_NEED, now=now)
         if isinstance(outcome, Granted):
             return True
--- a/lagoonlever/decisions/targets/limit_permits.py
+++ b/lagoonlever/decisions/targets/limit_permits.py
@@ -108,7 +108,7 @@
 
 
 @attrs.define(kw_only=True)
-class PermitBook:
+class PermitBuckets:
     """A token bucket of permits for each target; times in monotonic seconds."""
 
     _permits: dict[str, _Permits] = attrs.field(factory=dict)
--- a/lagoonlever/gateway/permit_exchange.py
+++ b/lagoonlever/gateway/permit_exchange.py
@@ -15,7 +15,7 @@
     STAND_IN_SHARE,
     Denied,
     Granted,
-    PermitBook,
+    PermitBuckets,
     PermitOutcome,
     SilentVms,
     counters_of,
@@ -53,7 +53,7 @@
     """This VM's name."""
     _leaving: Callable[[], bool]
     _named: NamedLimits
-    _book: PermitBook = attrs.field(factory=PermitBook)
+    _book: PermitBuckets = attrs.field(factory=PermitBuckets)
     _silent: SilentVms = attrs.field(factory=SilentVms)
     _probed_at: dict[str, float] = attrs.field(factory=dict)
     """When this VM last asked whether another one answers."""
--- a/lagoonlever/tests/limit_permits_tests.py
+++ b/lagoonlever/tests/limit_permits_tests.py
@@ -16,7 +16,7 @@
     Denied,
     Granted,
     HeldTargets,
-    PermitBook,
+    PermitBuckets,
     SilentVms,
     counters_of,
     limit_coordinator,
@@ -27,7 +27,7 @@
 MIN_USED = {9: 0.9, 75: 0.8, 195: 0.8, 300: 0.8}
 
 
-def granted(book: PermitBook, *, per_s: float, need: float, seconds: float) -> int:
+def granted(book: PermitBuckets, *, per_s: float, need: float, seconds: float) -> int:
     """Request permits a thousand times a second; return how many were granted."""
     count = 0
     for turn in range(int(seconds * 1000)):
@@ -49,11 +49,11 @@
 
 def test_a_limit_of_zero_still_grants_a_permit_now_and_then() -> None:
     """Guards against a limit whose end is never learnt, as no request is sent any more."""
-    assert 1 <= granted(PermitBook(), per_s=0.0, need=FIRST_NEED, seconds=8.0) <= 2
+    assert 1 <= granted(PermitBuckets(), per_s=0.0, need=FIRST_NEED, seconds=8.0) <= 2
 
 
 def test_the_most_valuable_work_takes_a_limit_that_is_too_small_for_all() -> None:
-    book = PermitBook()
+    book = PermitBuckets()
     first, again = 0, 0
     for turn in range(20_000):
         now = turn / 1000
@@ -66,17 +66,17 @@
 
 def test_work_of_less_value_gets_a_limit_that_nobody_else_uses() -> None:
     need = need_of(priority=3, begun=False, first=False)
-    assert granted(PermitBook(), per_s=5.0, need=need, seconds=20.0) >= 95
+    assert granted(PermitBuckets(), per_s=5.0, need=need, seconds=20.0) >= 95
 
 
 def test_a_target_with_an_older_limit_gets_the_next_request_at_once() -> None:
-    book = PermitBook()
+    book = PermitBuckets()
     book.begin("t", 0.0)
     assert isinstance(book.ask("t", per_s=4.0, need=FIRST_NEED, now=0.3), Granted)
 
 
 def test_permits_that_were_removed_are_saved_anew_from_zero() -> None:
-    book = PermitBook()
+    book = PermitBuckets()
     book.begin("t", 0.0)
     book.retain(("other",))
     assert isinstance(book.ask("t", per_s=1.0, need=FIRST_NEED, now=60.0), Denied)
@@ -130,7 +130,7 @@
 
     A target bears half as much again as its limit, plus 5 requests.
     """
-    books = ((PermitBook(), per_s), (PermitBook(), STAND_IN_SHARE * per_s))
+    books = ((PermitBuckets(), per_s), (PermitBuckets(), STAND_IN_SHARE * per_s))
     for book, _ in books:
         book.begin("t", 0.0)
     granted = 0
