--- a/lagoonlever/decisions/targets/limit_permits.py
+++ b/lagoonlever/decisions/targets/limit_permits.py
@@ -120,7 +120,7 @@
         """
         self._permits.setdefault(target, _Permits(saved=0.0, at=now))
 
-    def ask(self, target: str, *, per_s: float, need: float, now: float) -> PermitOutcome:
+    def acquire(self, target: str, *, per_s: float, need: float, now: float) -> PermitOutcome:
         """Use up a permit to send one request to a target, if at least ``need`` are saved.
 
         ``per_s`` is the target's limit in requests per second.
--- a/lagoonlever/gateway/permit_exchange.py
+++ b/lagoonlever/gateway/permit_exchange.py
@@ -154,7 +154,7 @@
         word = self._named.of(target)
         if word is None or word.per_s is None:
             return Granted(counted=False)
-        return self._book.ask(target, per_s=word.per_s, need=need, now=self._timers.now)
+        return self._book.acquire(target, per_s=word.per_s, need=need, now=self._timers.now)
 
     def _stand_in(self, counter: str, target: str, need: float) -> PermitOutcome:
         """Decide for a VM that is silent here, too, and may count on for itself and others."""
@@ -166,7 +166,7 @@
         per_s = STAND_IN_SHARE * word.per_s
         if per_s < LEAST_PER_S:
             return Denied(wait_s=UNSURE_S)
-        return self._book.ask(target, per_s=per_s, need=need, now=self._timers.now)
+        return self._book.acquire(target, per_s=per_s, need=need, now=self._timers.now)
 
     async def _probe(self, counter: str, target: str) -> None:
         """Ask the VM that counts for no permit, until it answers or is known to be silent."""
--- a/lagoonlever/tests/limit_permits_tests.py
+++ b/lagoonlever/tests/limit_permits_tests.py
@@ -58,8 +58,8 @@
     for turn in range(20_000):
         now = turn / 1000
         least = need_of(priority=2, begun=False, first=False)
-        again += isinstance(book.ask("t", per_s=5.0, need=least, now=now), Granted)
-        first += isinstance(book.ask("t", per_s=5.0, need=FIRST_NEED, now=now), Granted)
+        again += isinstance(book.acquire("t", per_s=5.0, need=least, now=now), Granted)
+        first += isinstance(book.acquire("t", per_s=5.0, need=FIRST_NEED, now=now), Granted)
     assert first >= 95
     assert again <= 5
 
@@ -72,14 +72,14 @@
 def test_a_target_with_an_older_limit_gets_the_next_request_at_once() -> None:
     book = PermitBuckets()
     book.begin("t", 0.0)
-    assert isinstance(book.ask("t", per_s=4.0, need=FIRST_NEED, now=0.3), Granted)
+    assert isinstance(book.acquire("t", per_s=4.0, need=FIRST_NEED, now=0.3), Granted)
 
 
 def test_permits_that_were_removed_are_saved_anew_from_zero() -> None:
     book = PermitBuckets()
     book.begin("t", 0.0)
     book.retain(("other",))
-    assert isinstance(book.ask("t", per_s=1.0, need=FIRST_NEED, now=60.0), Denied)
+    assert isinstance(book.acquire("t", per_s=1.0, need=FIRST_NEED, now=60.0), Denied)
 
 
 def test_work_is_denied_where_work_as_valuable_was_denied() -> None:
@@ -137,7 +137,7 @@
     for step in range(401):
         now = 100.0 + step / 100
         for book, own_per_s in books:
-            while isinstance(book.ask("t", per_s=own_per_s, need=1.0, now=now), Granted):
+            while isinstance(book.acquire("t", per_s=own_per_s, need=1.0, now=now), Granted):
                 granted += 1
     assert granted <= 1.5 * per_s * 4.0 + 5
 
