--- a/lagoonlever/decisions/targets/limit_permits.py
+++ b/lagoonlever/decisions/targets/limit_permits.py
@@ -75,7 +75,7 @@
 PermitOutcome = Granted | Denied
 
 
-def need_of(*, priority: int, begun: bool, first: bool) -> float:
+def required_permits(*, priority: int, begun: bool, first: bool) -> float:
     """Return how many permits must be saved before some work gets one.
 
     ``priority`` 0 is the highest. ``first`` says whether it is the first attempt. Work that has
--- a/lagoonlever/gateway/attempt_planner.py
+++ b/lagoonlever/gateway/attempt_planner.py
@@ -17,7 +17,7 @@
     RunAsk,
     RunOutcome,
 )
-from lagoonlever.decisions.targets.limit_permits import need_of
+from lagoonlever.decisions.targets.limit_permits import required_permits
 from lagoonlever.decisions.targets.listed_target import ListedTarget
 from lagoonlever.gateway.accepted import Accepted
 from lagoonlever.gateway.attempt_tools import AttemptPlan
@@ -160,7 +160,7 @@
 
 def stream_need(accepted: Accepted, life: StreamLife) -> float:
     """Give the permits that must be saved at an engine in need before it gets a stream."""
-    return need_of(
+    return required_permits(
         priority=accepted.priority, begun=life.position is not None, first=life.sent == 0
     )
 
--- a/lagoonlever/gateway/call_exchange.py
+++ b/lagoonlever/gateway/call_exchange.py
@@ -9,7 +9,7 @@
 from lagoonlever.decisions.admission.capacity import RejectedWithRetryAfter
 from lagoonlever.decisions.rollouts.book import Lane
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS, gives
-from lagoonlever.decisions.targets.limit_permits import Denied, need_of
+from lagoonlever.decisions.targets.limit_permits import Denied, required_permits
 from lagoonlever.decisions.targets.listed_target import ListedTarget
 from lagoonlever.decisions.targets.load_view import SentTicket
 from lagoonlever.gateway.accepted import Accepted
@@ -211,7 +211,7 @@
     def need(self, call: CallRecord) -> float:
         """Give the permits that must be saved at a target in need before it gets a call."""
         first = call.sent == 0
-        return need_of(priority=call.accepted.priority, begun=False, first=first)
+        return required_permits(priority=call.accepted.priority, begun=False, first=first)
 
     def is_gone(self, call: CallRecord) -> bool:
         """Note that a caller left; gives False where its answer was on its way already."""
--- a/lagoonlever/tests/limit_permits_tests.py
+++ b/lagoonlever/tests/limit_permits_tests.py
@@ -20,7 +20,7 @@
     SilentVms,
     counters_of,
     limit_coordinator,
-    need_of,
+    required_permits,
 )
 from lagoonlever.decisions.targets.named_limits import LimitReport, NamedLimits
 
@@ -57,7 +57,7 @@
     first, again = 0, 0
     for turn in range(20_000):
         now = turn / 1000
-        least = need_of(priority=2, begun=False, first=False)
+        least = required_permits(priority=2, begun=False, first=False)
         again += isinstance(book.acquire("t", per_s=5.0, need=least, now=now), Granted)
         first += isinstance(book.acquire("t", per_s=5.0, need=FIRST_NEED, now=now), Granted)
     assert first >= 95
@@ -65,7 +65,7 @@
 
 
 def test_work_of_less_value_gets_a_limit_that_nobody_else_uses() -> None:
-    need = need_of(priority=3, begun=False, first=False)
+    need = required_permits(priority=3, begun=False, first=False)
     assert granted(PermitBuckets(), per_s=5.0, need=need, seconds=20.0) >= 95
 
 
