--- a/lagoonlever/decisions/targets/load_view.py
+++ b/lagoonlever/decisions/targets/load_view.py
@@ -125,7 +125,7 @@
         """Record a load report that another VM passed on; return whether it is used."""
         return self._record(report, LoadSource.NEWS, asked_at=report.at)
 
-    def sent(self, target: str, now: float) -> SentTicket:
+    def record_sent(self, target: str, now: float) -> SentTicket:
         """Record that a request is sent to a target; return the ticket to record its end by."""
         ticket = SentTicket(target=target, number=next(self._numbers))
         self._state(target).open[ticket.number] = now
--- a/lagoonlever/gateway/target_words.py
+++ b/lagoonlever/gateway/target_words.py
@@ -111,7 +111,7 @@
     def sent(self, target: str, *, first: bool) -> SentTicket:
         """Count a request that is written to a target; gives what ends it."""
         self._limits.sent(target, first=first)
-        return self._beliefs.loads.sent(target, self._timers.now)
+        return self._beliefs.loads.record_sent(target, self._timers.now)
 
     def ended(self, ticket: SentTicket) -> None:
         """Note that a request is over, whatever became of it."""
--- a/lagoonlever/tests/load_view_tests.py
+++ b/lagoonlever/tests/load_view_tests.py
@@ -22,7 +22,7 @@
 
 def test_a_target_without_reports_has_the_requests_of_this_vm() -> None:
     loads = TargetLoads()
-    loads.sent("t", 0.0)
+    loads.record_sent("t", 0.0)
     estimate = loads.estimate("t", 1.0)
     assert estimate.source is LoadSource.NONE
     assert (estimate.running, estimate.waiting) == (1, 0)
@@ -30,10 +30,10 @@
 
 def test_requests_sent_since_the_report_are_added_and_ended_ones_subtracted() -> None:
     loads = TargetLoads()
-    before = loads.sent("t", 0.0)
+    before = loads.record_sent("t", 0.0)
     loads.record_report(report(running=5, at=0.1))
-    loads.sent("t", 0.2)
-    loads.sent("t", 0.2)
+    loads.record_sent("t", 0.2)
+    loads.record_sent("t", 0.2)
     assert loads.estimate("t", 0.2).waiting == 1
     loads.ended(before, 0.3)
     assert (loads.estimate("t", 0.3).running, loads.estimate("t", 0.3).waiting) == (6, 0)
@@ -44,17 +44,17 @@
 def test_an_end_is_remembered_while_the_report_counts_its_request() -> None:
     """Guards against an idle target that counts as busy, once the end of a request is old."""
     loads = TargetLoads()
-    ticket = loads.sent("t", 0.0)
+    ticket = loads.record_sent("t", 0.0)
     loads.record_report(report(running=1, at=0.1))
     loads.ended(ticket, 0.2)
     for number in range(20):
-        loads.ended(loads.sent("t", 1.0 + number), 1.5 + number)
+        loads.ended(loads.record_sent("t", 1.0 + number), 1.5 + number)
     assert loads.estimate("t", 30.0).running == 0
 
 
 def test_a_relayed_report_of_before_an_end_adds_no_request() -> None:
     loads = TargetLoads()
-    ticket = loads.sent("t", 0.0)
+    ticket = loads.record_sent("t", 0.0)
     loads.ended(ticket, 0.2)
     loads.record_relayed_report(report(running=3, at=0.19))
     assert loads.estimate("t", 0.21).running == 2
@@ -65,7 +65,7 @@
     """Guards against a target that always reports to be idle and is then sent all requests."""
     loads = TargetLoads()
     for number in range(9):
-        loads.sent("t", 0.1 * number)
+        loads.record_sent("t", 0.1 * number)
         loads.record_report(report(running=told, at=0.1 * number + 0.05))
     estimate = loads.estimate("t", 1.0)
     assert (estimate.running, estimate.waiting) == (6, 3)
@@ -91,7 +91,7 @@
 
 def test_an_answer_of_the_former_process_is_ignored_for_the_new_one() -> None:
     loads = TargetLoads()
-    ticket = loads.sent("t", 0.0)
+    ticket = loads.record_sent("t", 0.0)
     loads.record_report(report(running=6, at=0.5, slowness=2.5))
     loads.record_restart("t", 1.0)
     assert not loads.record_report(report(running=6, at=1.1, slowness=2.5), asked_at=0.9)
@@ -127,7 +127,7 @@
 
     @rule()
     def send(self) -> None:
-        self.open[self.loads.sent("t", self.now)] = self.now
+        self.open[self.loads.record_sent("t", self.now)] = self.now
 
     @precondition(lambda self: self.open)
     @rule(data=st.data())
