--- a/lagoonlever/decisions/targets/load_view.py
+++ b/lagoonlever/decisions/targets/load_view.py
@@ -131,7 +131,7 @@
         self._state(target).open[ticket.number] = now
         return ticket
 
-    def ended(self, ticket: SentTicket, now: float) -> None:
+    def record_ended(self, ticket: SentTicket, now: float) -> None:
         """Record that a request has ended.
 
         Has no effect for a second time, or after the target restarted.
--- a/lagoonlever/gateway/target_words.py
+++ b/lagoonlever/gateway/target_words.py
@@ -115,7 +115,7 @@
 
     def ended(self, ticket: SentTicket) -> None:
         """Note that a request is over, whatever became of it."""
-        self._beliefs.loads.ended(ticket, self._timers.now)
+        self._beliefs.loads.record_ended(ticket, self._timers.now)
 
     def come_back_s(self, service: str) -> float | None:
         """Give when a refused caller is to come back; None where no target has said anything.
--- a/lagoonlever/tests/load_view_tests.py
+++ b/lagoonlever/tests/load_view_tests.py
@@ -35,9 +35,9 @@
     loads.record_sent("t", 0.2)
     loads.record_sent("t", 0.2)
     assert loads.estimate("t", 0.2).waiting == 1
-    loads.ended(before, 0.3)
+    loads.record_ended(before, 0.3)
     assert (loads.estimate("t", 0.3).running, loads.estimate("t", 0.3).waiting) == (6, 0)
-    loads.ended(before, 0.4)
+    loads.record_ended(before, 0.4)
     assert loads.estimate("t", 60.0).running == 6
 
 
@@ -46,16 +46,16 @@
     loads = TargetLoads()
     ticket = loads.record_sent("t", 0.0)
     loads.record_report(report(running=1, at=0.1))
-    loads.ended(ticket, 0.2)
+    loads.record_ended(ticket, 0.2)
     for number in range(20):
-        loads.ended(loads.record_sent("t", 1.0 + number), 1.5 + number)
+        loads.record_ended(loads.record_sent("t", 1.0 + number), 1.5 + number)
     assert loads.estimate("t", 30.0).running == 0
 
 
 def test_a_relayed_report_of_before_an_end_adds_no_request() -> None:
     loads = TargetLoads()
     ticket = loads.record_sent("t", 0.0)
-    loads.ended(ticket, 0.2)
+    loads.record_ended(ticket, 0.2)
     loads.record_relayed_report(report(running=3, at=0.19))
     assert loads.estimate("t", 0.21).running == 2
 
@@ -95,7 +95,7 @@
     loads.record_report(report(running=6, at=0.5, slowness=2.5))
     loads.record_restart("t", 1.0)
     assert not loads.record_report(report(running=6, at=1.1, slowness=2.5), asked_at=0.9)
-    loads.ended(ticket, 1.2)
+    loads.record_ended(ticket, 1.2)
     assert loads.estimate("t", 1.3).running == 0
     assert not loads.reports_slowness("t")
 
@@ -133,14 +133,14 @@
     @rule(data=st.data())
     def end(self, data: st.DataObject) -> None:
         ticket = data.draw(st.sampled_from(list(self.open)))
-        self.loads.ended(ticket, self.now)
+        self.loads.record_ended(ticket, self.now)
         self.ended.append((self.open.pop(ticket), self.now))
         self.finished.append(ticket)
 
     @precondition(lambda self: self.finished)
     @rule(data=st.data())
     def end_again(self, data: st.DataObject) -> None:
-        self.loads.ended(data.draw(st.sampled_from(self.finished)), self.now)
+        self.loads.record_ended(data.draw(st.sampled_from(self.finished)), self.now)
 
     @rule(extra=st.integers(0, 9), waiting=st.integers(0, 9))
     def answer(self, extra: int, waiting: int) -> None:
