--- a/lagoonlever/decisions/targets/named_limits.py
+++ b/lagoonlever/decisions/targets/named_limits.py
@@ -44,7 +44,7 @@
             target: report for target, report in self._reports.items() if report.per_s is not None
         }
 
-    def of(self, target: str) -> LimitReport | None:
+    def current(self, target: str) -> LimitReport | None:
         """Return the limit that a target has now, or None."""
         report = self._reports.get(target)
         return report if report is not None and report.per_s is not None else None
--- a/lagoonlever/gateway/permit_exchange.py
+++ b/lagoonlever/gateway/permit_exchange.py
@@ -151,7 +151,7 @@
         self._probed_at = {vm: at for vm, at in self._probed_at.items() if vm in names}
 
     def _decide(self, target: str, need: float) -> PermitOutcome:
-        word = self._named.of(target)
+        word = self._named.current(target)
         if word is None or word.per_s is None:
             return Granted(counted=False)
         return self._book.acquire(target, per_s=word.per_s, need=need, now=self._timers.now)
@@ -160,7 +160,7 @@
         """Decide for a VM that is silent here, too, and may count on for itself and others."""
         if not self._silent.is_silent(counter, self._timers.now):
             return Denied(wait_s=UNSURE_S)
-        word = self._named.of(target)
+        word = self._named.current(target)
         if word is None or word.per_s is None:
             return Granted(counted=False)
         per_s = STAND_IN_SHARE * word.per_s
--- a/lagoonlever/gateway/target_limits.py
+++ b/lagoonlever/gateway/target_limits.py
@@ -84,7 +84,7 @@
         """Take what the head of a target's answer says of its limit."""
         if not head.tells_limit:
             return
-        former, now = self._named.of(target), self._timers.now
+        former, now = self._named.current(target), self._timers.now
         word = LimitReport.of_answer(head.limit_per_s, sent_at=sent_at, now=now)
         if not self._named.update(target, word):
             return
@@ -93,7 +93,7 @@
 
     def limit_of(self, target: str) -> float | None:
         """Give the requests a second that a target takes now; None where it names no limit."""
-        word = self._named.of(target)
+        word = self._named.current(target)
         return word.per_s if word is not None else None
 
     def counter(self, target: str) -> str | None:
@@ -112,11 +112,11 @@
 
     def unlimited(self, targets: Iterable[ListedTarget]) -> tuple[ListedTarget, ...]:
         """Give the targets that name no limit."""
-        return tuple(t for t in targets if self._named.of(t.id) is None)
+        return tuple(t for t in targets if self._named.current(t.id) is None)
 
     async def permit(self, target: str, *, need: float) -> PermitOutcome:
         """Take a permit to send one request to a target, if it names a limit."""
-        word, now = self._named.of(target), self._timers.now
+        word, now = self._named.current(target), self._timers.now
         if word is None:
             return Granted(counted=False)
         if self._held.is_held(target, need=need, now=now):
@@ -130,11 +130,11 @@
 
     def covers(self, target: str, permit: Granted) -> bool:
         """Tell whether a permit still does, as the target may have named its limit since."""
-        return permit.counted or self._named.of(target) is None
+        return permit.counted or self._named.current(target) is None
 
     def sent(self, target: str, *, first: bool) -> None:
         """Count a request that is written to a target, if the target names a limit."""
-        word = self._named.of(target)
+        word = self._named.current(target)
         if word is None:
             return
         self._tally.add(metrics.LIMITED_SENDS, "first" if first else "later")
@@ -164,7 +164,7 @@
         back as the next permit is free would be refused again.
         """
         able = self._beliefs.targets.serving(service)
-        words = [word for word in (self._named.of(target.id) for target in able) if word]
+        words = [word for word in (self._named.current(target.id) for target in able) if word]
         if not words:
             return None
         now = self._timers.now
@@ -188,7 +188,7 @@
             self._bus.send(newcomer, LimitsTold(words=tuple(words)))
 
     def _changed(self, target: str, former: LimitReport | None, *, source: str) -> None:
-        word = self._named.of(target)
+        word = self._named.current(target)
         if word is None:
             self._held.forget(target)
             self._permits.forget(target)
@@ -221,7 +221,7 @@
         """Take words of another VM; gives whether one was news."""
         is_news = False
         for told in message.words:
-            former = self._named.of(told.target)
+            former = self._named.current(told.target)
             if self._permits.learn(told):
                 is_news = True
                 self._changed(told.target, former, source=source)
--- a/lagoonlever/tests/limit_permits_tests.py
+++ b/lagoonlever/tests/limit_permits_tests.py
@@ -147,9 +147,9 @@
     named = NamedLimits()
     assert named.update("t", LimitReport.of_answer(5.0, sent_at=0.9, now=1.0))
     assert not named.update("t", LimitReport.of_answer(None, sent_at=0.8, now=1.1))
-    assert named.of("t") is not None
+    assert named.current("t") is not None
     assert named.update("t", LimitReport.of_answer(None, sent_at=1.05, now=1.2))
-    assert named.of("t") is None
+    assert named.current("t") is None
 
 
 class LimitReports(RuleBasedStateMachine):
@@ -187,7 +187,7 @@
     @invariant()
     def the_newest_report_counts(self) -> None:
         expected = self.newest if self.newest and self.newest.per_s is not None else None
-        assert self.named.of("t") == expected
+        assert self.named.current("t") == expected
 
 
 TestLimitReports = LimitReports.TestCase
