--- a/lagoonlever/bench/target_limits_model.py
+++ b/lagoonlever/bench/target_limits_model.py
@@ -16,7 +16,7 @@
 from lagoonlever.decisions.targets.limit_permits import (
     FIRST_NEED,
     Granted,
-    HeldTargets,
+    DeniedTargets,
     PermitBuckets,
 )
 
@@ -92,7 +92,7 @@
     _noticed: dict[str, float] = attrs.field(factory=dict)
     _buckets: dict[tuple[str, str], _Bucket] = attrs.field(factory=dict)
     _books: dict[str, PermitBuckets] = attrs.field(factory=dict)
-    _held: dict[str, HeldTargets] = attrs.field(factory=dict)
+    _held: dict[str, DeniedTargets] = attrs.field(factory=dict)
     _ranks: dict[str, list[str]] = attrs.field(factory=dict)
     _arrived: dict[str, list[float]] = attrs.field(factory=dict)
 
@@ -147,7 +147,7 @@
         return self._ranks[target]
 
     def _ask(self, vm: str, target: str, counter: str, dead: str, now: float) -> bool:
-        held = self._held.setdefault(vm, HeldTargets())
+        held = self._held.setdefault(vm, DeniedTargets())
         if held.is_held(target, need=FIRST_NEED, now=now):
             return False
         is_gone = counter == dead and now >= DIES_AT_S
--- a/lagoonlever/decisions/targets/limit_permits.py
+++ b/lagoonlever/decisions/targets/limit_permits.py
@@ -185,7 +185,7 @@
 
 
 @attrs.define(kw_only=True)
-class HeldTargets:
+class DeniedTargets:
     """Targets at which permits were denied lately, so that work goes to others meanwhile.
 
     Times are seconds of the monotonic clock.
--- a/lagoonlever/gateway/target_limits.py
+++ b/lagoonlever/gateway/target_limits.py
@@ -18,7 +18,7 @@
 from lagoonlever.decisions.targets.limit_permits import (
     Denied,
     Granted,
-    HeldTargets,
+    DeniedTargets,
     PermitOutcome,
 )
 from lagoonlever.decisions.targets.listed_target import ListedTarget
@@ -67,7 +67,7 @@
     _named: NamedLimits
     _permits: PermitExchange
     _spread: HubSpread
-    _held: HeldTargets = attrs.field(factory=HeldTargets)
+    _held: DeniedTargets = attrs.field(factory=DeniedTargets)
     _sends: dict[str, _Sends] = attrs.field(factory=dict)
     _spread_at: dict[str, float] = attrs.field(factory=dict)
     _refusals: deque[float] = attrs.field(factory=deque)
--- a/lagoonlever/tests/limit_permits_tests.py
+++ b/lagoonlever/tests/limit_permits_tests.py
@@ -15,7 +15,7 @@
     STAND_IN_SHARE,
     Denied,
     Granted,
-    HeldTargets,
+    DeniedTargets,
     PermitBuckets,
     SilentVms,
     counters_of,
@@ -83,7 +83,7 @@
 
 
 def test_work_is_denied_where_work_as_valuable_was_denied() -> None:
-    held = HeldTargets()
+    held = DeniedTargets()
     held.hold("t", need=1.5, until=5.0)
     assert held.is_held("t", need=2.0, now=4.0)
     assert not held.is_held("t", need=1.0, now=4.0)
