--- a/lagoonlever/decisions/targets/limit_permits.py
+++ b/lagoonlever/decisions/targets/limit_permits.py
@@ -194,7 +194,7 @@
     _until: dict[str, dict[float, float]] = attrs.field(factory=dict)
     """By target and required permits of the work, until when work is denied."""
 
-    def hold(self, target: str, *, need: float, until: float) -> None:
+    def record_denial(self, target: str, *, need: float, until: float) -> None:
         """Record that work which requires ``need`` saved permits was denied."""
         self._until.setdefault(target, {})[need] = until
 
--- a/lagoonlever/gateway/target_limits.py
+++ b/lagoonlever/gateway/target_limits.py
@@ -125,7 +125,7 @@
         if isinstance(outcome, Denied):
             self._tally.add(metrics.LIMITED_SENDS, "held")
             wait_s = outcome.wait_s * self._rng.uniform(1.0, 1.0 + HOLD_SPREAD)
-            self._held.hold(target, need=need, until=self._timers.now + wait_s)
+            self._held.record_denial(target, need=need, until=self._timers.now + wait_s)
         return outcome
 
     def covers(self, target: str, permit: Granted) -> bool:
--- a/lagoonlever/tests/limit_permits_tests.py
+++ b/lagoonlever/tests/limit_permits_tests.py
@@ -84,7 +84,7 @@
 
 def test_work_is_denied_where_work_as_valuable_was_denied() -> None:
     held = DeniedTargets()
-    held.hold("t", need=1.5, until=5.0)
+    held.record_denial("t", need=1.5, until=5.0)
     assert held.is_held("t", need=2.0, now=4.0)
     assert not held.is_held("t", need=1.0, now=4.0)
     assert not held.is_held("t", need=1.5, now=5.0)
