--- a/lagoonlever/decisions/targets/limit_permits.py
+++ b/lagoonlever/decisions/targets/limit_permits.py
@@ -198,7 +198,7 @@
         """Record that work which requires ``need`` saved permits was denied."""
         self._until.setdefault(target, {})[need] = until
 
-    def is_held(self, target: str, *, need: float, now: float) -> bool:
+    def is_denied(self, target: str, *, need: float, now: float) -> bool:
         """Check whether work of this value, or of a higher one, is to wait for permits still.
 
         Work is the more valuable the fewer saved permits it requires.
--- a/lagoonlever/gateway/target_limits.py
+++ b/lagoonlever/gateway/target_limits.py
@@ -103,12 +103,12 @@
     def open(self, targets: Iterable[ListedTarget], *, need: float) -> tuple[ListedTarget, ...]:
         """Give the targets that work of a need was not denied at just now."""
         now = self._timers.now
-        return tuple(t for t in targets if not self._held.is_held(t.id, need=need, now=now))
+        return tuple(t for t in targets if not self._held.is_denied(t.id, need=need, now=now))
 
     def held(self, targets: Iterable[ListedTarget], *, need: float) -> frozenset[str]:
         """Give the targets that work of a need is to go past for now."""
         now = self._timers.now
-        return frozenset(t.id for t in targets if self._held.is_held(t.id, need=need, now=now))
+        return frozenset(t.id for t in targets if self._held.is_denied(t.id, need=need, now=now))
 
     def unlimited(self, targets: Iterable[ListedTarget]) -> tuple[ListedTarget, ...]:
         """Give the targets that name no limit."""
@@ -119,7 +119,7 @@
         word, now = self._named.current(target), self._timers.now
         if word is None:
             return Granted(counted=False)
-        if self._held.is_held(target, need=need, now=now):
+        if self._held.is_denied(target, need=need, now=now):
             return Denied(wait_s=0.0)
         outcome = await self._permits.ask(target, word, need=need)
         if isinstance(outcome, Denied):
--- a/lagoonlever/tests/limit_permits_tests.py
+++ b/lagoonlever/tests/limit_permits_tests.py
@@ -85,11 +85,11 @@
 def test_work_is_denied_where_work_as_valuable_was_denied() -> None:
     held = DeniedTargets()
     held.record_denial("t", need=1.5, until=5.0)
-    assert held.is_held("t", need=2.0, now=4.0)
-    assert not held.is_held("t", need=1.0, now=4.0)
-    assert not held.is_held("t", need=1.5, now=5.0)
+    assert held.is_denied("t", need=2.0, now=4.0)
+    assert not held.is_denied("t", need=1.0, now=4.0)
+    assert not held.is_denied("t", need=1.5, now=5.0)
     held.expire(5.0)
-    assert not held.is_held("t", need=2.0, now=4.0)
+    assert not held.is_denied("t", need=2.0, now=4.0)
 
 
 def test_all_vms_compute_the_same_coordinator_and_keep_it_as_others_leave() -> None:
