--- a/lagoonlever/decisions/targets/rests.py
+++ b/lagoonlever/decisions/targets/rests.py
@@ -16,7 +16,7 @@
 
     _until: dict[str, float] = attrs.field(factory=dict)
 
-    def asked(self, target: str, backoff_s: float, now: float) -> None:
+    def record(self, target: str, backoff_s: float, now: float) -> None:
         """Record a back-off that a target asked for; a longer one from before stays."""
         self._until[target] = max(now + backoff_s, self._until.get(target, now))
 
--- a/lagoonlever/entry/services/rests.py
+++ b/lagoonlever/entry/services/rests.py
@@ -29,7 +29,7 @@
         rest_s = _rest_s(response)
         if rest_s:
             self._resting.expire(self._timers.now)
-            self._resting.asked(runner, rest_s, self._timers.now)
+            self._resting.record(runner, rest_s, self._timers.now)
 
     def awake(self, names: Iterable[str]) -> tuple[str, ...]:
         """Give the runners that have not asked for rest, or whose rest is over."""
--- a/lagoonlever/gateway/target_words.py
+++ b/lagoonlever/gateway/target_words.py
@@ -72,7 +72,7 @@
         if head.leaves:
             self._says_leaving(target, self._beliefs.targets.start_of(target), "its own answer")
         if head.rest_s:
-            self._rests.asked(target, head.rest_s, self._timers.now)
+            self._rests.record(target, head.rest_s, self._timers.now)
             events.TARGET_RESTS.log(log, target=target, seconds=head.rest_s)
 
     def open(self, targets: Iterable[ListedTarget], *, need: float) -> tuple[ListedTarget, ...]:
--- a/lagoonlever/tests/target_words_tests.py
+++ b/lagoonlever/tests/target_words_tests.py
@@ -224,10 +224,10 @@
 
 def test_a_shorter_rest_does_not_end_a_longer_one() -> None:
     rests = RestingTargets()
-    rests.asked("t", 3.0, 10.0)
-    rests.asked("t", 1.0, 10.5)
+    rests.record("t", 3.0, 10.0)
+    rests.record("t", 1.0, 10.5)
     assert rests.left_s("t", 12.0) == 1.0
-    rests.asked("t", 4.0, 12.0)
+    rests.record("t", 4.0, 12.0)
     assert rests.left_s("t", 13.0) == 3.0
     rests.expire(17.0)
     assert rests.left_s("t", 12.0) == 0.0
@@ -235,7 +235,7 @@
 
 def test_a_process_that_has_the_id_of_a_resting_target_has_asked_for_none() -> None:
     rests = RestingTargets()
-    rests.asked("t", 3.0, 10.0)
+    rests.record("t", 3.0, 10.0)
     rests.forget("t")
     assert rests.left_s("t", 10.0) == 0.0
 
