--- a/lagoonlever/decisions/targets/rests.py
+++ b/lagoonlever/decisions/targets/rests.py
@@ -20,7 +20,7 @@
         """Record a back-off that a target asked for; a longer one from before stays."""
         self._until[target] = max(now + backoff_s, self._until.get(target, now))
 
-    def left_s(self, target: str, now: float) -> float:
+    def remaining_s(self, target: str, now: float) -> float:
         """Return the seconds until a target's back-off ends; 0 if there is none."""
         return max(0.0, self._until.get(target, now) - now)
 
--- a/lagoonlever/entry/services/rests.py
+++ b/lagoonlever/entry/services/rests.py
@@ -34,11 +34,11 @@
     def awake(self, names: Iterable[str]) -> tuple[str, ...]:
         """Give the runners that have not asked for rest, or whose rest is over."""
         now = self._timers.now
-        return tuple(name for name in names if not self._resting.left_s(name, now))
+        return tuple(name for name in names if not self._resting.remaining_s(name, now))
 
     def is_awake(self, name: str) -> bool:
         """Tell whether a runner takes a request; asked again right before each write."""
-        return not self._resting.left_s(name, self._timers.now)
+        return not self._resting.remaining_s(name, self._timers.now)
 
 
 def _rest_s(response: Response) -> float | None:
--- a/lagoonlever/gateway/target_words.py
+++ b/lagoonlever/gateway/target_words.py
@@ -78,7 +78,7 @@
     def open(self, targets: Iterable[ListedTarget], *, need: float) -> tuple[ListedTarget, ...]:
         """Give the targets that take work of a need now, as far as they have said."""
         now = self._timers.now
-        awake = (target for target in targets if not self._rests.left_s(target.id, now))
+        awake = (target for target in targets if not self._rests.remaining_s(target.id, now))
         return self._limits.open(awake, need=need)
 
     def held(self, targets: Iterable[ListedTarget], *, need: float) -> frozenset[str]:
@@ -90,16 +90,16 @@
     def unlimited(self, targets: Iterable[ListedTarget]) -> tuple[ListedTarget, ...]:
         """Give the targets that work may be moved to without need: none in need themselves."""
         now = self._timers.now
-        awake = (target for target in targets if not self._rests.left_s(target.id, now))
+        awake = (target for target in targets if not self._rests.remaining_s(target.id, now))
         return self._limits.unlimited(awake)
 
     def rests(self, target: str) -> bool:
         """Tell whether a target wants nothing from this VM now."""
-        return self._rests.left_s(target, self._timers.now) > 0
+        return self._rests.remaining_s(target, self._timers.now) > 0
 
     async def permit(self, target: str, *, need: float) -> PermitOutcome:
         """Take a permit to send one request to a target, as far as it takes any."""
-        left_s = self._rests.left_s(target, self._timers.now)
+        left_s = self._rests.remaining_s(target, self._timers.now)
         if left_s:
             return Denied(wait_s=left_s)
         return await self._limits.permit(target, need=need)
@@ -135,7 +135,7 @@
         """Give how long all targets of a service are to rest yet; 0 where one does not."""
         now = self._timers.now
         able = self._beliefs.targets.serving(service)
-        return min((self._rests.left_s(target.id, now) for target in able), default=0.0)
+        return min((self._rests.remaining_s(target.id, now) for target in able), default=0.0)
 
     def started_again(self, target: str) -> None:
         """Note that another process has a target's id: it has asked for no rest yet."""
--- a/lagoonlever/tests/target_words_tests.py
+++ b/lagoonlever/tests/target_words_tests.py
@@ -226,18 +226,18 @@
     rests = RestingTargets()
     rests.record("t", 3.0, 10.0)
     rests.record("t", 1.0, 10.5)
-    assert rests.left_s("t", 12.0) == 1.0
+    assert rests.remaining_s("t", 12.0) == 1.0
     rests.record("t", 4.0, 12.0)
-    assert rests.left_s("t", 13.0) == 3.0
+    assert rests.remaining_s("t", 13.0) == 3.0
     rests.expire(17.0)
-    assert rests.left_s("t", 12.0) == 0.0
+    assert rests.remaining_s("t", 12.0) == 0.0
 
 
 def test_a_process_that_has_the_id_of_a_resting_target_has_asked_for_none() -> None:
     rests = RestingTargets()
     rests.record("t", 3.0, 10.0)
     rests.forget("t")
-    assert rests.left_s("t", 10.0) == 0.0
+    assert rests.remaining_s("t", 10.0) == 0.0
 
 
 def test_retry_after_counts_only_on_a_503() -> None:
