--- a/lagoonlever/decisions/targets/registry.py
+++ b/lagoonlever/decisions/targets/registry.py
@@ -263,7 +263,7 @@
         self._remove(change.id, change.revision, now)
         return True
 
-    def seen_up_to(self, revision: Revision) -> None:
+    def advance_to(self, revision: Revision) -> None:
         """Record that the list contains every change up to a revision of the store."""
         self._as_of = max(self._as_of, revision)
 
--- a/lagoonlever/gateway/knowledge.py
+++ b/lagoonlever/gateway/knowledge.py
@@ -176,7 +176,7 @@
                 self.ask(address)
             return
         counting = [change for change in news.changes if self._learner.take_change(change)]
-        targets.seen_up_to(news.as_of)
+        targets.advance_to(news.as_of)
         if counting:
             self.pass_on(news, received.sender.name)
 
--- a/lagoonlever/gateway/store_follower.py
+++ b/lagoonlever/gateway/store_follower.py
@@ -238,7 +238,7 @@
             return
         after = self._beliefs.targets.as_of
         changes = [taken for each in batch.changes if (taken := self._take_target(each))]
-        self._beliefs.targets.seen_up_to(batch.revision)
+        self._beliefs.targets.advance_to(batch.revision)
         if changes:
             self._knowledge.push_targets(tuple(changes), after=after)
 
