--- a/lagoonlever/decisions/targets/registry.py
+++ b/lagoonlever/decisions/targets/registry.py
@@ -168,7 +168,7 @@
         wanted = wanted or versions.settled(listed)
         return tuple(target for target in able if target.version in wanted)
 
-    def shut_out(self, service: str) -> int:
+    def count_blocked_by_version(self, service: str) -> int:
         """Return the number of available targets of a service if their versions block them all.
 
         Return 0 if any target of the service may be given work.
--- a/lagoonlever/gateway/metrics_page.py
+++ b/lagoonlever/gateway/metrics_page.py
@@ -49,7 +49,7 @@
         self._tally.set(metrics.FELLOWS, float(offered), "offered")
         self._tally.set(metrics.FELLOWS, float(len(fellows.states) - offered), "silent")
         for service in self._beliefs.targets.rolled_out:
-            shut_out = self._beliefs.targets.shut_out(service)
+            shut_out = self._beliefs.targets.count_blocked_by_version(service)
             self._tally.set(metrics.SHUT_OUT, float(shut_out), service)
         self._sample_loads()
 
--- a/lagoonlever/gateway/rollouts.py
+++ b/lagoonlever/gateway/rollouts.py
@@ -255,7 +255,7 @@
 
     def _note_shut_out(self, order: RolloutOrder) -> None:
         """Log that a service has come to be served by nobody because of a verdict, or is again."""
-        targets = self._beliefs.targets.shut_out(order.service)
+        targets = self._beliefs.targets.count_blocked_by_version(order.service)
         if bool(targets) == (order.service in self._shut_out):
             return
         if targets:
