--- a/lagoonlever/decisions/targets/watch.py
+++ b/lagoonlever/decisions/targets/watch.py
@@ -100,7 +100,7 @@
         self._members = members
         self._freshness.members_changed(members, now)
 
-    def read(self, reading: TargetListReading) -> list[Send]:
+    def on_list_read(self, reading: TargetListReading) -> list[Send]:
         """Apply a reading of the platform's list; return the updates to send to peers."""
         self._freshness.record_reading(reading.read_at)
         return self._update_peers(self._listing.apply_list(reading))
--- a/lagoonlever/entry/targets/targets.py
+++ b/lagoonlever/entry/targets/targets.py
@@ -191,7 +191,7 @@
         reading = self._readings.value
         while True:
             if reading is not None:
-                self._send(self._knowledge.read(reading))
+                self._send(self._knowledge.on_list_read(reading))
                 self._publish()
             reading = await self._readings.wait_change()
 
