--- a/lagoonlever/decisions/targets/watch.py
+++ b/lagoonlever/decisions/targets/watch.py
@@ -105,7 +105,7 @@
         self._freshness.record_reading(reading.read_at)
         return self._update_peers(self._listing.apply_list(reading))
 
-    def heard(self, update: TargetLeavingNews, now: float) -> list[Send]:
+    def on_leaving_update(self, update: TargetLeavingNews, now: float) -> list[Send]:
         """Apply a peer's update; return the messages that pass on what was new."""
         return self._apply_evidence(update.evidence, now)
 
--- a/lagoonlever/entry/targets/targets.py
+++ b/lagoonlever/entry/targets/targets.py
@@ -203,7 +203,7 @@
 
     async def _hear_news(self) -> None:
         async for received in self._bus.subscribe(TargetLeavingNews):
-            self._take(self._knowledge.heard(received.message, self._timers.now))
+            self._take(self._knowledge.on_leaving_update(received.message, self._timers.now))
 
     async def _answer_asks(self) -> None:
         async for received in self._bus.subscribe(TargetListAsk):
