--- a/lagoonlever/decisions/targets/watch.py
+++ b/lagoonlever/decisions/targets/watch.py
@@ -109,7 +109,7 @@
         """Apply a peer's update; return the messages that pass on what was new."""
         return self._apply_evidence(update.evidence, now)
 
-    def asked(self, query: TargetListAsk, now: float) -> list[Send]:
+    def on_list_query(self, query: TargetListAsk, now: float) -> list[Send]:
         """Return the answer to a peer's query."""
         answer = TargetListAnswer(
             number=query.number,
--- a/lagoonlever/entry/targets/targets.py
+++ b/lagoonlever/entry/targets/targets.py
@@ -207,7 +207,7 @@
 
     async def _answer_asks(self) -> None:
         async for received in self._bus.subscribe(TargetListAsk):
-            self._send(self._knowledge.asked(received.message, self._timers.now))
+            self._send(self._knowledge.on_list_query(received.message, self._timers.now))
 
     async def _hear_answers(self) -> None:
         async for received in self._bus.subscribe(TargetListAnswer):
