--- a/lagoonlever/decisions/targets/watch.py
+++ b/lagoonlever/decisions/targets/watch.py
@@ -118,7 +118,7 @@
         )
         return [Send(to=query.reply_to, message=answer)]
 
-    def answered(self, answer: TargetListAnswer, now: float) -> list[Send]:
+    def on_list_answer(self, answer: TargetListAnswer, now: float) -> list[Send]:
         """Apply a peer's answer; return the messages that pass on what was new.
 
         The evidence is applied before the age of the list: otherwise the list would count as
--- a/lagoonlever/entry/targets/targets.py
+++ b/lagoonlever/entry/targets/targets.py
@@ -211,7 +211,7 @@
 
     async def _hear_answers(self) -> None:
         async for received in self._bus.subscribe(TargetListAnswer):
-            self._take(self._knowledge.answered(received.message, self._timers.now))
+            self._take(self._knowledge.on_list_answer(received.message, self._timers.now))
 
     def _take(self, sends: list[Send]) -> None:
         """Send news on; that there is any means that the view changed."""
