--- a/lagoonlever/decisions/targets/watch.py
+++ b/lagoonlever/decisions/targets/watch.py
@@ -74,7 +74,7 @@
     def __attrs_post_init__(self) -> None:
         self._freshness.members_changed(self._members, 0.0)
 
-    def belief(self, now: float) -> ListStatus:
+    def list_status(self, now: float) -> ListStatus:
         """Return whether the list may be used to send new work."""
         return self._freshness.status(now)
 
@@ -84,14 +84,14 @@
 
     def may_dispatch(self, name: str, address: Address, now: float) -> bool:
         """Check whether work may be sent now to one incarnation of a target."""
-        if not self.belief(now).allows_work:
+        if not self.list_status(now).allows_work:
             return False
         return self._listing.state_of(name, address) is TargetState.LIVE
 
     def targets(self, now: float) -> tuple[Target, ...]:
         """Return every known target; if the list may not be used, live ones are ``UNSURE``."""
         targets = self._listing.targets()
-        if self.belief(now).allows_work:
+        if self.list_status(now).allows_work:
             return targets
         return tuple(_as_unsure(target) for target in targets)
 
--- a/lagoonlever/entry/targets/targets.py
+++ b/lagoonlever/entry/targets/targets.py
@@ -136,7 +136,7 @@
     @property
     def belief(self) -> ListStatus:
         """Whether the list of targets may be believed now."""
-        return self._knowledge.belief(self._timers.now)
+        return self._knowledge.list_status(self._timers.now)
 
     def check_before_dispatch(self, target: Target) -> bool:
         """Tell whether work may be written to a target now; ask right before each write.
@@ -227,7 +227,7 @@
         self._send(self._knowledge.tick(tick.now))
 
     def _reconsider(self, tick: Tick) -> None:
-        belief = self._knowledge.belief(tick.now)
+        belief = self._knowledge.list_status(tick.now)
         age_s = self._knowledge.list_age_s(tick.now)
         if belief is self._belief or age_s is None:
             return
