--- a/lagoonlever/bench/target_list.py
+++ b/lagoonlever/bench/target_list.py
@@ -20,7 +20,7 @@
     TargetKnowledge,
     TargetLeavingNews,
     TargetListAnswer,
-    TargetListAsk,
+    TargetListQuery,
 )
 from lagoonlever.entry.targets.targets import ASK_PERIOD_S
 from lagoonlever.http.messages import Address
@@ -210,7 +210,7 @@
         match message:
             case TargetLeavingNews():
                 return knowledge.heard(message, self.now)
-            case TargetListAsk():
+            case TargetListQuery():
                 return knowledge.asked(message, self.now)
             case TargetListAnswer():
                 return knowledge.answered(message, self.now)
--- a/lagoonlever/decisions/targets/watch.py
+++ b/lagoonlever/decisions/targets/watch.py
@@ -37,7 +37,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class TargetListAsk:
+class TargetListQuery:
     """A query for the age of the receiver's list; the answer has the same ``number``."""
 
     number: int
@@ -58,7 +58,7 @@
     """A message to send to a peer; it may be lost."""
 
     to: Address
-    message: TargetLeavingNews | TargetListAsk | TargetListAnswer
+    message: TargetLeavingNews | TargetListQuery | TargetListAnswer
 
 
 @attrs.define(kw_only=True)
@@ -109,7 +109,7 @@
         """Apply a peer's update; return the messages that pass on what was new."""
         return self._apply_evidence(update.evidence, now)
 
-    def on_list_query(self, query: TargetListAsk, now: float) -> list[Send]:
+    def on_list_query(self, query: TargetListQuery, now: float) -> list[Send]:
         """Return the answer to a peer's query."""
         answer = TargetListAnswer(
             number=query.number,
@@ -131,7 +131,7 @@
     def tick(self, now: float) -> list[Send]:
         """Return the queries for the list's age that are due now."""
         return [
-            Send(to=peer, message=TargetListAsk(number=number, reply_to=self._own))
+            Send(to=peer, message=TargetListQuery(number=number, reply_to=self._own))
             for number, peer in self._freshness.due_queries(now, self._rng)
         ]
 
--- a/lagoonlever/entry/targets/targets.py
+++ b/lagoonlever/entry/targets/targets.py
@@ -31,7 +31,7 @@
 from lagoonlever.peers.messages_targets import (
     TargetLeavingNews,
     TargetListAnswer,
-    TargetListAsk,
+    TargetListQuery,
 )
 from lagoonlever.published import Published
 from lagoonlever.timers import Tick, TimerService
@@ -206,7 +206,7 @@
             self._take(self._knowledge.on_leaving_update(received.message, self._timers.now))
 
     async def _answer_asks(self) -> None:
-        async for received in self._bus.subscribe(TargetListAsk):
+        async for received in self._bus.subscribe(TargetListQuery):
             self._send(self._knowledge.on_list_query(received.message, self._timers.now))
 
     async def _hear_answers(self) -> None:
--- a/lagoonlever/peers/messages_targets.py
+++ b/lagoonlever/peers/messages_targets.py
@@ -5,12 +5,12 @@
 from lagoonlever.decisions.targets.watch import (
     TargetLeavingNews,
     TargetListAnswer,
-    TargetListAsk,
+    TargetListQuery,
 )
 from lagoonlever.peers.messages import PEER
 
 PEER.message("target-leaving")(TargetLeavingNews)
-PEER.message("target-list-ask")(TargetListAsk)
+PEER.message("target-list-ask")(TargetListQuery)
 PEER.message("target-list-answer")(TargetListAnswer)
 
-__all__ = ("TargetLeavingNews", "TargetListAnswer", "TargetListAsk")
+__all__ = ("TargetLeavingNews", "TargetListAnswer", "TargetListQuery")
--- a/lagoonlever/tests/target_fleet.py
+++ b/lagoonlever/tests/target_fleet.py
@@ -19,7 +19,7 @@
     TargetKnowledge,
     TargetLeavingNews,
     TargetListAnswer,
-    TargetListAsk,
+    TargetListQuery,
 )
 from lagoonlever.history.checkers.leaving_target import GRACE_S
 from lagoonlever.history.events import HistoryEvent
@@ -167,7 +167,7 @@
         match message:
             case TargetLeavingNews():
                 self.send(vm, vm.knowledge.heard(message, self.now))
-            case TargetListAsk():
+            case TargetListQuery():
                 self.send(vm, vm.knowledge.asked(message, self.now))
             case TargetListAnswer():
                 self.send(vm, vm.knowledge.answered(message, self.now))
