--- a/lagoonlever/bench/target_list.py
+++ b/lagoonlever/bench/target_list.py
@@ -18,7 +18,7 @@
 from lagoonlever.decisions.targets.watch import (
     Send,
     TargetKnowledge,
-    TargetLeavingNews,
+    TargetLeavingUpdate,
     TargetListAnswer,
     TargetListQuery,
 )
@@ -208,7 +208,7 @@
 
     def _deliver(self, knowledge: TargetKnowledge, message: object) -> list[Send]:
         match message:
-            case TargetLeavingNews():
+            case TargetLeavingUpdate():
                 return knowledge.heard(message, self.now)
             case TargetListQuery():
                 return knowledge.asked(message, self.now)
--- a/lagoonlever/decisions/targets/watch.py
+++ b/lagoonlever/decisions/targets/watch.py
@@ -30,7 +30,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class TargetLeavingNews:
+class TargetLeavingUpdate:
     """Targets that were read as leaving; a VM to which any is new passes it on at once."""
 
     evidence: tuple[LeavingEvidence, ...]
@@ -58,7 +58,7 @@
     """A message to send to a peer; it may be lost."""
 
     to: Address
-    message: TargetLeavingNews | TargetListQuery | TargetListAnswer
+    message: TargetLeavingUpdate | TargetListQuery | TargetListAnswer
 
 
 @attrs.define(kw_only=True)
@@ -105,7 +105,7 @@
         self._freshness.record_reading(reading.read_at)
         return self._update_peers(self._listing.apply_list(reading))
 
-    def on_leaving_update(self, update: TargetLeavingNews, now: float) -> list[Send]:
+    def on_leaving_update(self, update: TargetLeavingUpdate, now: float) -> list[Send]:
         """Apply a peer's update; return the messages that pass on what was new."""
         return self._apply_evidence(update.evidence, now)
 
@@ -144,7 +144,7 @@
             return []
         members = self._members
         peers = [m.peers for m in members.reachable if m.incarnation != members.own]
-        message = TargetLeavingNews(evidence=evidence)
+        message = TargetLeavingUpdate(evidence=evidence)
         chosen = self._rng.sample(peers, min(UPDATE_FANOUT, len(peers)))
         return [Send(to=peer, message=message) for peer in chosen]
 
--- a/lagoonlever/entry/targets/targets.py
+++ b/lagoonlever/entry/targets/targets.py
@@ -29,7 +29,7 @@
 from lagoonlever.events import event
 from lagoonlever.peers.interface import Bus
 from lagoonlever.peers.messages_targets import (
-    TargetLeavingNews,
+    TargetLeavingUpdate,
     TargetListAnswer,
     TargetListQuery,
 )
@@ -202,7 +202,7 @@
             members = await self._members.wait_change()
 
     async def _hear_news(self) -> None:
-        async for received in self._bus.subscribe(TargetLeavingNews):
+        async for received in self._bus.subscribe(TargetLeavingUpdate):
             self._take(self._knowledge.on_leaving_update(received.message, self._timers.now))
 
     async def _answer_asks(self) -> None:
--- a/lagoonlever/tests/target_fleet.py
+++ b/lagoonlever/tests/target_fleet.py
@@ -17,7 +17,7 @@
 from lagoonlever.decisions.targets.watch import (
     Send,
     TargetKnowledge,
-    TargetLeavingNews,
+    TargetLeavingUpdate,
     TargetListAnswer,
     TargetListQuery,
 )
@@ -165,7 +165,7 @@
 
     def deliver(self, vm: Vm, message: object) -> None:
         match message:
-            case TargetLeavingNews():
+            case TargetLeavingUpdate():
                 self.send(vm, vm.knowledge.heard(message, self.now))
             case TargetListQuery():
                 self.send(vm, vm.knowledge.asked(message, self.now))
