--- a/lagoonlever/decisions/targets/load.py
+++ b/lagoonlever/decisions/targets/load.py
@@ -58,7 +58,7 @@
         report = self._reports.get(target.incarnation)
         return report is None or report.models is None
 
-    def described(self, target: Target, now: float) -> Target:
+    def describe(self, target: Target, now: float) -> Target:
         """Return the target with its models, its load if fresh, and whether it is impaired."""
         report = self._reports.get(target.incarnation)
         if report is None:
--- a/lagoonlever/entry/targets/targets.py
+++ b/lagoonlever/entry/targets/targets.py
@@ -238,7 +238,7 @@
     def _publish(self) -> None:
         now = self._timers.now
         targets = tuple(
-            self._reports.described(target, now) for target in self._knowledge.targets(now)
+            self._reports.describe(target, now) for target in self._knowledge.targets(now)
         )
         if targets == self.view.value.targets:
             return
--- a/lagoonlever/tests/target_load_tests.py
+++ b/lagoonlever/tests/target_load_tests.py
@@ -66,7 +66,7 @@
 
     @invariant()
     def only_fresh_reports_of_this_incarnation_count(self) -> None:
-        described = self.reports.described(target(self.incarnation), self.now)
+        described = self.reports.describe(target(self.incarnation), self.now)
         assert described == attrs.evolve(
             target(self.incarnation),
             models=described.models,
@@ -80,7 +80,7 @@
 
     @invariant()
     def a_failed_connect_counts_for_a_bounded_time(self) -> None:
-        described = self.reports.described(target(self.incarnation), self.now)
+        described = self.reports.describe(target(self.incarnation), self.now)
         if self.failed_at == self.now:
             assert described.impaired
         if self.failed_at is None or self.now - self.failed_at > MAX_IMPAIRED_S:
