--- a/lagoonlever/decisions/targets/load.py
+++ b/lagoonlever/decisions/targets/load.py
@@ -73,7 +73,7 @@
             impaired=now < report.impaired_until,
         )
 
-    def models_read(self, target: Target, models: tuple[ModelKey, ...]) -> None:
+    def record_models(self, target: Target, models: tuple[ModelKey, ...]) -> None:
         """Record the models that an engine serves."""
         self._report(target).models = models
 
--- a/lagoonlever/entry/targets/targets.py
+++ b/lagoonlever/entry/targets/targets.py
@@ -155,7 +155,7 @@
 
     def models_read(self, target: Target, models: tuple[ModelKey, ...]) -> None:
         """Take the models that an engine serves."""
-        self._reports.models_read(target, models)
+        self._reports.record_models(target, models)
         self._publish()
 
     def load_read(self, target: Target, load: TargetLoad) -> None:
--- a/lagoonlever/tests/target_load_tests.py
+++ b/lagoonlever/tests/target_load_tests.py
@@ -43,14 +43,14 @@
 
     @rule()
     def models_read(self) -> None:
-        self.reports.models_read(target(self.incarnation), MODELS)
+        self.reports.record_models(target(self.incarnation), MODELS)
         self.models_of_incarnation.add(self.incarnation)
 
     @rule()
     def late_answer_of_an_earlier_incarnation(self) -> None:
         if self.incarnation:
             old = target(self.incarnation - 1)
-            self.reports.models_read(old, ())
+            self.reports.record_models(old, ())
             self.reports.connect_failed(old, self.now)
 
     @rule()
