--- a/lagoonlever/decisions/targets/load.py
+++ b/lagoonlever/decisions/targets/load.py
@@ -77,7 +77,7 @@
         """Record the models that an engine serves."""
         self._report(target).models = models
 
-    def load_read(self, target: Target, load: TargetLoad) -> None:
+    def record_load(self, target: Target, load: TargetLoad) -> None:
         """Record a load report, which also shows that the target can be reached."""
         self._report(target).load = load
         self.connected(target)
--- a/lagoonlever/entry/targets/targets.py
+++ b/lagoonlever/entry/targets/targets.py
@@ -160,7 +160,7 @@
 
     def load_read(self, target: Target, load: TargetLoad) -> None:
         """Take a load report."""
-        self._reports.load_read(target, load)
+        self._reports.record_load(target, load)
         self._publish()
 
     def connected(self, target: Target) -> None:
--- a/lagoonlever/tests/target_load_tests.py
+++ b/lagoonlever/tests/target_load_tests.py
@@ -56,7 +56,7 @@
     @rule()
     def load_read(self) -> None:
         load = TargetLoad(running=1, waiting=0, slots=16, received_at=self.now)
-        self.reports.load_read(target(self.incarnation), load)
+        self.reports.record_load(target(self.incarnation), load)
         self.load_at, self.failed_at = self.now, None
 
     @rule()
