--- a/lagoonlever/decisions/targets/load.py
+++ b/lagoonlever/decisions/targets/load.py
@@ -80,9 +80,9 @@
     def record_load(self, target: Target, load: TargetLoad) -> None:
         """Record a load report, which also shows that the target can be reached."""
         self._report(target).load = load
-        self.connected(target)
+        self.record_connect(target)
 
-    def connected(self, target: Target) -> None:
+    def record_connect(self, target: Target) -> None:
         """Record that the target was reached, which ends its impairment."""
         report = self._report(target)
         report.failures = 0
--- a/lagoonlever/entry/targets/targets.py
+++ b/lagoonlever/entry/targets/targets.py
@@ -165,7 +165,7 @@
 
     def connected(self, target: Target) -> None:
         """Note that a target answered."""
-        self._reports.connected(target)
+        self._reports.record_connect(target)
 
     def connect_failed(self, target: Target) -> None:
         """Note that a target was not reached or stayed silent: others are preferred."""
