--- a/lagoonlever/decisions/targets/load.py
+++ b/lagoonlever/decisions/targets/load.py
@@ -88,7 +88,7 @@
         report.failures = 0
         report.impaired_until = 0.0
 
-    def connect_failed(self, target: Target, now: float) -> None:
+    def record_connect_failure(self, target: Target, now: float) -> None:
         """Record a failed connect: other targets are preferred for a while.
 
         The time doubles with each failure in succession, up to ``MAX_IMPAIRED_S``.
--- a/lagoonlever/entry/targets/targets.py
+++ b/lagoonlever/entry/targets/targets.py
@@ -169,7 +169,7 @@
 
     def connect_failed(self, target: Target) -> None:
         """Note that a target was not reached or stayed silent: others are preferred."""
-        self._reports.connect_failed(target, self._timers.now)
+        self._reports.record_connect_failure(target, self._timers.now)
         self._publish()
 
     async def run(self) -> None:
--- a/lagoonlever/tests/target_load_tests.py
+++ b/lagoonlever/tests/target_load_tests.py
@@ -51,7 +51,7 @@
         if self.incarnation:
             old = target(self.incarnation - 1)
             self.reports.record_models(old, ())
-            self.reports.connect_failed(old, self.now)
+            self.reports.record_connect_failure(old, self.now)
 
     @rule()
     def load_read(self) -> None:
@@ -61,7 +61,7 @@
 
     @rule()
     def connect_failed(self) -> None:
-        self.reports.connect_failed(target(self.incarnation), self.now)
+        self.reports.record_connect_failure(target(self.incarnation), self.now)
         self.failed_at = self.now
 
     @invariant()
