--- a/lagoonlever/decisions/targets/replacements.py
+++ b/lagoonlever/decisions/targets/replacements.py
@@ -53,7 +53,7 @@
         """Check whether it is time to check again whether there is anything to read."""
         return self.alive_at is None or now - self.alive_at >= CHECK_INTERVAL_S
 
-    def waits(self, now: float, *, nothing_there: bool) -> None:
+    def record_wait(self, now: float, *, nothing_there: bool) -> None:
         """Record that a reader begins to wait, and whether there is nothing to read then."""
         self._empty_at = now if nothing_there else None
 
--- a/lagoonlever/gateway/stream_attempt.py
+++ b/lagoonlever/gateway/stream_attempt.py
@@ -275,7 +275,7 @@
             assert isinstance(step, WaitUntil)
             began = self._tools.timers.elapsed
             if self._signs.wants_look(began):
-                self._signs.waits(began, nothing_there=connection.quiet)
+                self._signs.record_wait(began, nothing_there=connection.quiet)
             with trio.move_on_at(step.at):
                 read = await (connection.read_head() if head else connection.next_piece())
                 self._signs.arrived(self._tools.timers.elapsed)
--- a/lagoonlever/tests/replacements_tests.py
+++ b/lagoonlever/tests/replacements_tests.py
@@ -45,7 +45,7 @@
 
 def test_a_sign_of_life_is_dated_by_the_last_moment_with_nothing_to_read() -> None:
     signs = LifeSigns()
-    signs.waits(1.0, nothing_there=True)
+    signs.record_wait(1.0, nothing_there=True)
     signs.arrived(1.3)
     assert signs.alive_at == 1.0
 
@@ -57,10 +57,10 @@
     would prove that the address can't have been assigned to another service, though it may be.
     """
     signs = LifeSigns()
-    signs.waits(4.0, nothing_there=False)
+    signs.record_wait(4.0, nothing_there=False)
     signs.arrived(4.0 + 10 * MIN_WAIT_S)
     assert signs.alive_at is None
-    signs.waits(4.1, nothing_there=True)
+    signs.record_wait(4.1, nothing_there=True)
     signs.arrived(4.1 + MIN_WAIT_S / 2)
     assert signs.alive_at is None
 
