--- a/lagoonlever/decisions/targets/replacements.py
+++ b/lagoonlever/decisions/targets/replacements.py
@@ -57,7 +57,7 @@
         """Record that a reader begins to wait, and whether there is nothing to read then."""
         self._empty_at = now if nothing_there else None
 
-    def arrived(self, now: float) -> None:
+    def record_arrival(self, now: float) -> None:
         """Record that data arrived at the waiting reader."""
         if self._empty_at is not None and now - self._empty_at >= MIN_WAIT_S:
             self.alive_at = self._empty_at
--- a/lagoonlever/gateway/stream_attempt.py
+++ b/lagoonlever/gateway/stream_attempt.py
@@ -278,7 +278,7 @@
                 self._signs.record_wait(began, nothing_there=connection.quiet)
             with trio.move_on_at(step.at):
                 read = await (connection.read_head() if head else connection.next_piece())
-                self._signs.arrived(self._tools.timers.elapsed)
+                self._signs.record_arrival(self._tools.timers.elapsed)
                 return read
 
     async def _ask(self, connection: ClientConnection, silence: StreamSilence) -> None:
--- a/lagoonlever/tests/replacements_tests.py
+++ b/lagoonlever/tests/replacements_tests.py
@@ -46,7 +46,7 @@
 def test_a_sign_of_life_is_dated_by_the_last_moment_with_nothing_to_read() -> None:
     signs = LifeSigns()
     signs.record_wait(1.0, nothing_there=True)
-    signs.arrived(1.3)
+    signs.record_arrival(1.3)
     assert signs.alive_at == 1.0
 
 
@@ -58,10 +58,10 @@
     """
     signs = LifeSigns()
     signs.record_wait(4.0, nothing_there=False)
-    signs.arrived(4.0 + 10 * MIN_WAIT_S)
+    signs.record_arrival(4.0 + 10 * MIN_WAIT_S)
     assert signs.alive_at is None
     signs.record_wait(4.1, nothing_there=True)
-    signs.arrived(4.1 + MIN_WAIT_S / 2)
+    signs.record_arrival(4.1 + MIN_WAIT_S / 2)
     assert signs.alive_at is None
 
 
