--- a/lagoonlever/decisions/targets/replacements.py
+++ b/lagoonlever/decisions/targets/replacements.py
@@ -49,7 +49,7 @@
     _empty_at: float | None = None
     """When the reader began to wait with nothing to read; None if there was something."""
 
-    def wants_look(self, now: float) -> bool:
+    def is_check_due(self, now: float) -> bool:
         """Check whether it is time to check again whether there is anything to read."""
         return self.alive_at is None or now - self.alive_at >= CHECK_INTERVAL_S
 
--- a/lagoonlever/gateway/stream_attempt.py
+++ b/lagoonlever/gateway/stream_attempt.py
@@ -274,7 +274,7 @@
                 continue
             assert isinstance(step, WaitUntil)
             began = self._tools.timers.elapsed
-            if self._signs.wants_look(began):
+            if self._signs.is_check_due(began):
                 self._signs.record_wait(began, nothing_there=connection.quiet)
             with trio.move_on_at(step.at):
                 read = await (connection.read_head() if head else connection.next_piece())
