--- a/lagoonlever/decisions/targets/limit_permits.py
+++ b/lagoonlever/decisions/targets/limit_permits.py
@@ -89,10 +89,10 @@
 
 def limit_coordinator(target: str, vms: Iterable[str]) -> str:
     """Return the VM that issues the permits of a target."""
-    return counters_of(target, vms)[0]
+    return limit_coordinators(target, vms)[0]
 
 
-def counters_of(target: str, vms: Iterable[str]) -> list[str]:
+def limit_coordinators(target: str, vms: Iterable[str]) -> list[str]:
     """Return the VM that issues the permits of a target, and then the one that stands in for it.
 
     With a single VM there is none to stand in.
--- a/lagoonlever/gateway/permit_exchange.py
+++ b/lagoonlever/gateway/permit_exchange.py
@@ -18,7 +18,7 @@
     PermitBuckets,
     PermitOutcome,
     SilentVms,
-    counters_of,
+    limit_coordinators,
 )
 from lagoonlever.decisions.targets.named_limits import LimitReport, NamedLimits
 from lagoonlever.gateway import events
@@ -119,7 +119,7 @@
         names = [fellow.life.name for fellow in present if not fellow.leaving]
         if not names or not self._leaving():
             names.append(self._vm)
-        counter, *others = counters_of(target, names)
+        counter, *others = limit_coordinators(target, names)
         return counter, others[0] if others else None
 
     def learn(self, told: WordTold) -> bool:
--- a/lagoonlever/tests/limit_permits_tests.py
+++ b/lagoonlever/tests/limit_permits_tests.py
@@ -18,7 +18,7 @@
     DeniedTargets,
     PermitBuckets,
     SilentVms,
-    counters_of,
+    limit_coordinators,
     limit_coordinator,
     required_permits,
 )
@@ -104,9 +104,9 @@
 
 def test_the_stand_in_becomes_the_coordinator_once_the_first_is_gone() -> None:
     vms = [f"vm-{number}" for number in range(300)]
-    coordinator, stand_in = counters_of("t", vms)
+    coordinator, stand_in = limit_coordinators("t", vms)
     assert limit_coordinator("t", [vm for vm in vms if vm != coordinator]) == stand_in
-    assert counters_of("t", ["vm-1"]) == ["vm-1"]
+    assert limit_coordinators("t", ["vm-1"]) == ["vm-1"]
 
 
 def test_a_vm_is_silent_after_two_missed_requests_and_until_it_answers() -> None:
