--- a/lagoonlever/decisions/targets/limit_permits.py
+++ b/lagoonlever/decisions/targets/limit_permits.py
@@ -27,7 +27,7 @@
 
 An answer now and then shows when the overload is over.
 """
-FIRST_NEED = 1.0
+MIN_REQUIRED_PERMITS = 1.0
 """How many permits must be saved before the most valuable work gets one."""
 EXTRA_PERMITS_PER_RANK = 0.25
 """How many more must be saved for each rank of an organisation or route below the first."""
@@ -82,8 +82,8 @@
     ``begun``, so that its caller has a part of the answer, requires the fewest.
     """
     if begun:
-        return FIRST_NEED
-    need = FIRST_NEED + EXTRA_PERMITS_PER_RANK * min(max(priority, 0), MAX_RANK)
+        return MIN_REQUIRED_PERMITS
+    need = MIN_REQUIRED_PERMITS + EXTRA_PERMITS_PER_RANK * min(max(priority, 0), MAX_RANK)
     return need if first else need + EXTRA_PERMITS_FOR_RETRY
 
 
--- a/lagoonlever/tests/limit_permits_tests.py
+++ b/lagoonlever/tests/limit_permits_tests.py
@@ -10,7 +10,7 @@
 
 from lagoonlever.bench.target_limits_model import LimitCase, LimitModel, Way
 from lagoonlever.decisions.targets.limit_permits import (
-    FIRST_NEED,
+    MIN_REQUIRED_PERMITS,
     MISSES_KEPT_S,
     STAND_IN_SHARE,
     Denied,
@@ -49,7 +49,7 @@
 
 def test_a_limit_of_zero_still_grants_a_permit_now_and_then() -> None:
     """Guards against a limit whose end is never learnt, as no request is sent any more."""
-    assert 1 <= granted(PermitBuckets(), per_s=0.0, need=FIRST_NEED, seconds=8.0) <= 2
+    assert 1 <= granted(PermitBuckets(), per_s=0.0, need=MIN_REQUIRED_PERMITS, seconds=8.0) <= 2
 
 
 def test_the_most_valuable_work_takes_a_limit_that_is_too_small_for_all() -> None:
@@ -59,7 +59,9 @@
         now = turn / 1000
         least = required_permits(priority=2, begun=False, first=False)
         again += isinstance(book.acquire("t", per_s=5.0, need=least, now=now), Granted)
-        first += isinstance(book.acquire("t", per_s=5.0, need=FIRST_NEED, now=now), Granted)
+        first += isinstance(
+            book.acquire("t", per_s=5.0, need=MIN_REQUIRED_PERMITS, now=now), Granted
+        )
     assert first >= 95
     assert again <= 5
 
@@ -72,14 +74,14 @@
 def test_a_target_with_an_older_limit_gets_the_next_request_at_once() -> None:
     book = PermitBuckets()
     book.begin("t", 0.0)
-    assert isinstance(book.acquire("t", per_s=4.0, need=FIRST_NEED, now=0.3), Granted)
+    assert isinstance(book.acquire("t", per_s=4.0, need=MIN_REQUIRED_PERMITS, now=0.3), Granted)
 
 
 def test_permits_that_were_removed_are_saved_anew_from_zero() -> None:
     book = PermitBuckets()
     book.begin("t", 0.0)
     book.retain(("other",))
-    assert isinstance(book.acquire("t", per_s=1.0, need=FIRST_NEED, now=60.0), Denied)
+    assert isinstance(book.acquire("t", per_s=1.0, need=MIN_REQUIRED_PERMITS, now=60.0), Denied)
 
 
 def test_work_is_denied_where_work_as_valuable_was_denied() -> None:
--- a/lagoonlever/tests/limits_fleet_tests.py
+++ b/lagoonlever/tests/limits_fleet_tests.py
@@ -11,7 +11,7 @@
 
 from lagoonlever.bench.local_fleet import Fleet, FleetVm, run_fleet, start_many
 from lagoonlever.decisions.fleet.roles import assign_roles
-from lagoonlever.decisions.targets.limit_permits import FIRST_NEED, Granted
+from lagoonlever.decisions.targets.limit_permits import MIN_REQUIRED_PERMITS, Granted
 from lagoonlever.decisions.targets.listed_target import ListedTarget, TargetChange
 from lagoonlever.decisions.targets.named_limits import NamedLimits
 from lagoonlever.gateway.hub_spread import HubSpread
@@ -92,9 +92,9 @@
 
     async def request(self, target: Target) -> None:
         """Send one request, if that may be."""
-        if not self.limits.open([TARGET], need=FIRST_NEED):
+        if not self.limits.open([TARGET], need=MIN_REQUIRED_PERMITS):
             return
-        permit = await self.limits.permit("t", need=FIRST_NEED)
+        permit = await self.limits.permit("t", need=MIN_REQUIRED_PERMITS)
         if isinstance(permit, Granted) and self.limits.covers("t", permit):
             sent_at = trio.current_time()
             self.limits.heard("t", await target.answer(), sent_at=sent_at)
