--- a/lagoonlever/decisions/targets/limit_permits.py
+++ b/lagoonlever/decisions/targets/limit_permits.py
@@ -22,7 +22,7 @@
 
 from lagoonlever.decisions.fleet.rendezvous import rank_by_hash
 
-LEAST_PER_S = 0.25
+MIN_RATE_PER_S = 0.25
 """A target that reports a lower limit, or none at all, still gets this many requests per second.
 
 An answer now and then shows when the overload is over.
@@ -125,7 +125,7 @@
 
         ``per_s`` is the target's limit in requests per second.
         """
-        per_s = max(per_s, LEAST_PER_S)
+        per_s = max(per_s, MIN_RATE_PER_S)
         self.begin(target, now)
         permits = self._permits[target]
         earned = permits.saved + per_s * (now - permits.at)
--- a/lagoonlever/gateway/permit_exchange.py
+++ b/lagoonlever/gateway/permit_exchange.py
@@ -10,7 +10,7 @@
 
 from lagoonlever.decisions.fleet.roles import Roles
 from lagoonlever.decisions.targets.limit_permits import (
-    LEAST_PER_S,
+    MIN_RATE_PER_S,
     SILENT_MISSES,
     STAND_IN_SHARE,
     Denied,
@@ -164,7 +164,7 @@
         if word is None or word.per_s is None:
             return Granted(counted=False)
         per_s = STAND_IN_SHARE * word.per_s
-        if per_s < LEAST_PER_S:
+        if per_s < MIN_RATE_PER_S:
             return Denied(wait_s=UNSURE_S)
         return self._book.acquire(target, per_s=per_s, need=need, now=self._timers.now)
 
