--- a/lagoonlever/decisions/targets/registry.py
+++ b/lagoonlever/decisions/targets/registry.py
@@ -267,7 +267,7 @@
         """Record that the list contains every change up to a revision of the store."""
         self._as_of = max(self._as_of, revision)
 
-    def start_of(self, target_id: str) -> int | None:
+    def process_start(self, target_id: str) -> int | None:
         """Return the last known start of a target's process, also if the target is gone."""
         known = self._targets.get(target_id) or self._removed.get(target_id)
         return known.started_ms if known is not None else None
@@ -386,7 +386,7 @@
         changes only the revision. An entry that differs from the known one only by a revision of
         a new era need not be told, unless it ends a held removal: other VMs hold it too.
         """
-        known, start = self._targets.get(target.id), self.start_of(target.id)
+        known, start = self._targets.get(target.id), self.process_start(target.id)
         former = self._former_starts.get(target.id)
         if known is not None and former is not None and former == target.started_ms:
             self._targets[target.id] = attrs.evolve(known, revision=target.revision)
@@ -413,7 +413,7 @@
 
     def _is_of_former_process(self, entry: ListedTarget) -> bool:
         """Check whether an entry may come from a copy made before the target restarted."""
-        start = self.start_of(entry.id)
+        start = self.process_start(entry.id)
         if start is None or entry.started_ms is None or entry.started_ms >= start:
             return False
         return may_be_restored(entry.revision, known=self._known_revision(entry.id))
@@ -466,7 +466,7 @@
         return gone.revision if gone is not None else UNKNOWN_REVISION
 
     def _remove(self, target_id: str, revision: Revision, now: float) -> None:
-        started_ms = self.start_of(target_id)
+        started_ms = self.process_start(target_id)
         self._held_removals.pop(target_id, None)
         self._targets.pop(target_id, None)
         self._unlisted_until.pop(target_id, None)
--- a/lagoonlever/gateway/learner.py
+++ b/lagoonlever/gateway/learner.py
@@ -60,7 +60,7 @@
         if revision < registry.as_of:
             return ()
         listed = tuple(targets)
-        former = {target.id: registry.start_of(target.id) for target in listed}
+        former = {target.id: registry.process_start(target.id) for target in listed}
         changes = registry.apply_list(
             listed, revision=revision, now=self._timers.now, store_back_at=store_back_at
         )
@@ -81,7 +81,7 @@
         """Take one change of the list of targets; gives whether it counts now."""
         registry = self._beliefs.targets
         known = change.target or registry.find(change.id)
-        former = registry.start_of(change.id)
+        former = registry.process_start(change.id)
         if change.target is not None:
             self._note_machine(change.target)
         counts = registry.apply_change(change, now=self._timers.now, store_back_at=store_back_at)
@@ -92,7 +92,7 @@
 
     def take_start(self, target_id: str, started_ms: int) -> None:
         """Take the start of its process that a target tells in an answer."""
-        former = self._beliefs.targets.start_of(target_id)
+        former = self._beliefs.targets.process_start(target_id)
         if self._beliefs.targets.record_restart(target_id, started_ms):
             self._note_start(target_id, former, source="its own answer")
 
--- a/lagoonlever/gateway/permit_exchange.py
+++ b/lagoonlever/gateway/permit_exchange.py
@@ -131,7 +131,7 @@
 
     def told(self, target: str, word: LimitReport) -> WordTold:
         """Give the message of a word that this VM has."""
-        started_ms = self._beliefs.targets.start_of(target)
+        started_ms = self._beliefs.targets.process_start(target)
         return WordTold.of(target, word, started_ms=started_ms, now=self._timers.now)
 
     def begin(self, target: str) -> None:
--- a/lagoonlever/gateway/target_words.py
+++ b/lagoonlever/gateway/target_words.py
@@ -63,14 +63,16 @@
                 target=target,
                 load=head.load,
                 at=self._timers.now,
-                started_ms=self._beliefs.targets.start_of(target),
+                started_ms=self._beliefs.targets.process_start(target),
             )
             self._beliefs.loads.record_report(word, asked_at=sent_at)
         if head.unreadable and self._unreadable.get(target) != head.unreadable:
             self._unreadable[target] = head.unreadable
             events.TARGET_FIELD_UNREADABLE.log(log, target=target, fields=head.unreadable)
         if head.leaves:
-            self._says_leaving(target, self._beliefs.targets.start_of(target), "its own answer")
+            self._says_leaving(
+                target, self._beliefs.targets.process_start(target), "its own answer"
+            )
         if head.rest_s:
             self._rests.record(target, head.rest_s, self._timers.now)
             events.TARGET_RESTS.log(log, target=target, seconds=head.rest_s)
--- a/lagoonlever/tests/target_registry_tests.py
+++ b/lagoonlever/tests/target_registry_tests.py
@@ -173,7 +173,7 @@
     listed = TargetRegistry()
     listed.apply_list([started("e1", 100)], revision=at(10), now=0.0, store_back_at=None)
     change(listed, "e1", None, revision=at(11), now=1.0, store_back_at=None)
-    assert listed.start_of("e1") == 100
+    assert listed.process_start("e1") == 100
     change(listed, "e1", started("e1", 200), revision=at(12), now=2.0, store_back_at=None)
     found = listed.find("e1")
     assert found is not None and found.has_started_again(100)
@@ -185,11 +185,11 @@
     listed.apply_list([started("e1", 100)], revision=at(10), now=0.0, store_back_at=None)
     assert listed.record_restart("e1", 200)
     change(listed, "e1", started("e1", 100), revision=at(11), now=1.0, store_back_at=None)
-    assert listed.start_of("e1") == 200
+    assert listed.process_start("e1") == 200
     change(listed, "e1", started("e1", 200), revision=at(12), now=1.1, store_back_at=None)
-    assert listed.start_of("e1") == 200
+    assert listed.process_start("e1") == 200
     change(listed, "e1", started("e1", 150), revision=at(13), now=1.2, store_back_at=None)
-    assert listed.start_of("e1") == 150
+    assert listed.process_start("e1") == 150
 
 
 def of_era(era: int, number: int) -> Revision:
@@ -222,7 +222,7 @@
         leaving = started("e1", 200, draining=True)
         change(listed, "e1", leaving, revision=of_era(1, 31), now=2.0, store_back_at=None)
     restore_store(listed, 100)
-    assert listed.start_of("e1") == 200
+    assert listed.process_start("e1") == 200
     assert not listed.takes_work("e1")
     back = started("e1", 200, draining=True)
     change(listed, "e1", back, revision=of_era(2, 41), now=6.0, store_back_at=None)
@@ -234,7 +234,7 @@
     listed = restarted_before_a_restore()
     change(listed, "e1", None, revision=of_era(1, 32), now=2.0, store_back_at=None)
     restore_store(listed, 100)
-    assert listed.start_of("e1") == 200
+    assert listed.process_start("e1") == 200
     assert not listed.takes_work("e1")
 
 
@@ -254,7 +254,7 @@
     listed = restarted_before_a_restore()
     listed.record_leave_announcement("e1", started_ms=200, now=2.0)
     change(listed, "e1", started("e1", 150), revision=revision, now=5.0, store_back_at=None)
-    assert listed.start_of("e1") == (150 if is_new else 200)
+    assert listed.process_start("e1") == (150 if is_new else 200)
     assert listed.takes_work("e1") == is_new
     assert listed.record_restart("e1", 150) != is_new
     assert listed.takes_work("e1")
