--- a/lagoonlever/decisions/targets/registry.py
+++ b/lagoonlever/decisions/targets/registry.py
@@ -310,7 +310,7 @@
         if target_id in self._targets:
             self._replaced_at[target_id] = now
 
-    def place_is_taken(self, target_id: str) -> bool:
+    def is_address_taken(self, target_id: str) -> bool:
         """Check whether a target is gone, or an available target has its address."""
         target = self._targets.get(target_id)
         if target is None:
--- a/lagoonlever/gateway/replacement_finder.py
+++ b/lagoonlever/gateway/replacement_finder.py
@@ -76,7 +76,7 @@
         try:
             for after_s in ASK_AFTER_S:
                 await trio.sleep(max(0.0, alive_at + after_s - self._timers.elapsed))
-                if self._beliefs.targets.place_is_taken(target.id):
+                if self._beliefs.targets.is_address_taken(target.id):
                     return
                 answering = await self._ask_id(target)
                 if answering is not None:
