--- a/lagoonlever/decisions/targets/listed_target.py
+++ b/lagoonlever/decisions/targets/listed_target.py
@@ -27,7 +27,7 @@
     started_ms: int | None = None
     """When its process started, by its own clock in Unix milliseconds; None if not reported."""
 
-    def has_started_again(self, since: int | None) -> bool:
+    def has_restarted_since(self, since: int | None) -> bool:
         """Check whether it is known to be another process than the one that started at ``since``.
 
         Two processes differ if their starts differ. Without a start of either it returns False.
