--- a/lagoonlever/decisions/targets/named_limits.py
+++ b/lagoonlever/decisions/targets/named_limits.py
@@ -21,7 +21,7 @@
     """When it was true, in seconds of the monotonic clock."""
 
     @classmethod
-    def of_answer(cls, per_s: float | None, *, sent_at: float, now: float) -> LimitReport:
+    def from_answer(cls, per_s: float | None, *, sent_at: float, now: float) -> LimitReport:
         """Return the report of an answer that has just arrived.
 
         A report of no limit is dated by ``sent_at``, when its request was sent: the answer may
--- a/lagoonlever/gateway/target_limits.py
+++ b/lagoonlever/gateway/target_limits.py
@@ -85,7 +85,7 @@
         if not head.tells_limit:
             return
         former, now = self._named.current(target), self._timers.now
-        word = LimitReport.of_answer(head.limit_per_s, sent_at=sent_at, now=now)
+        word = LimitReport.from_answer(head.limit_per_s, sent_at=sent_at, now=now)
         if not self._named.update(target, word):
             return
         self._changed(target, former, source="its own answer")
--- a/lagoonlever/tests/limit_permits_tests.py
+++ b/lagoonlever/tests/limit_permits_tests.py
@@ -147,10 +147,10 @@
 def test_an_overtaken_answer_without_a_limit_does_not_end_one() -> None:
     """Guards against a burst of requests, as an answer of before a limit arrives after it."""
     named = NamedLimits()
-    assert named.update("t", LimitReport.of_answer(5.0, sent_at=0.9, now=1.0))
-    assert not named.update("t", LimitReport.of_answer(None, sent_at=0.8, now=1.1))
+    assert named.update("t", LimitReport.from_answer(5.0, sent_at=0.9, now=1.0))
+    assert not named.update("t", LimitReport.from_answer(None, sent_at=0.8, now=1.1))
     assert named.current("t") is not None
-    assert named.update("t", LimitReport.of_answer(None, sent_at=1.05, now=1.2))
+    assert named.update("t", LimitReport.from_answer(None, sent_at=1.05, now=1.2))
     assert named.current("t") is None
 
 
