--- a/lagoonlever/decisions/engines/uneven_engines.py
+++ b/lagoonlever/decisions/engines/uneven_engines.py
@@ -14,9 +14,9 @@
 from lagoonlever.decisions.engines.engine_paces import EnginePaces
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS, gives
 from lagoonlever.decisions.targets.load_estimate import LoadSource
-from lagoonlever.decisions.targets.load_view import MOMENT_S, TargetLoads
+from lagoonlever.decisions.targets.load_view import SLOWDOWN_DURATION_S, TargetLoads
 
-LEFT_OF_MOMENT_S = MOMENT_S / 2
+LEFT_OF_MOMENT_S = SLOWDOWN_DURATION_S / 2
 """A word is told at any time of a moment."""
 
 
--- a/lagoonlever/decisions/targets/load_view.py
+++ b/lagoonlever/decisions/targets/load_view.py
@@ -18,7 +18,7 @@
 from lagoonlever.decisions.targets.load_estimate import LoadEstimate, LoadSource
 from lagoonlever.decisions.targets.reported_load import USUAL, LoadReport
 
-MOMENT_S = 0.6
+SLOWDOWN_DURATION_S = 0.6
 """How long a machine that targets share with others is slow at a time."""
 ENDED_KEPT_S = 2.0
 """How long the end of a request is remembered.
@@ -174,13 +174,13 @@
     def slowness(self, target: str, now: float) -> float:
         """Return the slowdown factor of a target's machine.
 
-        The reported factor returns linearly to the usual 1.0 within ``MOMENT_S``.
+        The reported factor returns linearly to the usual 1.0 within ``SLOWDOWN_DURATION_S``.
         """
         state = self._states.get(target)
         reported = state.report.load.slowness if state and state.report else None
         if state is None or state.report is None or reported is None:
             return USUAL
-        left = max(0.0, 1.0 - (now - state.report.at) / MOMENT_S)
+        left = max(0.0, 1.0 - (now - state.report.at) / SLOWDOWN_DURATION_S)
         return USUAL + (reported - USUAL) * min(1.0, left)
 
     def estimate(self, target: str, now: float) -> LoadEstimate:
--- a/lagoonlever/peers/messages_gateway.py
+++ b/lagoonlever/peers/messages_gateway.py
@@ -13,7 +13,7 @@
 from lagoonlever.decisions.fleet.peer_table import PeerState
 from lagoonlever.decisions.streams.booked_runs import BookedRun, RunCopy
 from lagoonlever.decisions.targets.listed_target import ListedTarget, TargetChange
-from lagoonlever.decisions.targets.load_view import MOMENT_S
+from lagoonlever.decisions.targets.load_view import SLOWDOWN_DURATION_S
 from lagoonlever.decisions.targets.reported_load import LoadReport, ReportedLoad
 from lagoonlever.http.messages import Address
 from lagoonlever.peers.messages import PEER
@@ -84,7 +84,7 @@
     @classmethod
     def of(cls, word: LoadReport | None, now: float) -> EngineWord | None:
         """Give what is passed on of a word: one that tells slowness, while it is fresh."""
-        if word is None or word.load.slowness is None or now - word.at > MOMENT_S:
+        if word is None or word.load.slowness is None or now - word.at > SLOWDOWN_DURATION_S:
             return None
         return cls(
             running=round(word.load.running),
--- a/lagoonlever/tests/load_view_tests.py
+++ b/lagoonlever/tests/load_view_tests.py
@@ -7,7 +7,12 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from lagoonlever.decisions.targets.load_estimate import LoadSource
-from lagoonlever.decisions.targets.load_view import ENDED_KEPT_S, MOMENT_S, SentTicket, TargetLoads
+from lagoonlever.decisions.targets.load_view import (
+    ENDED_KEPT_S,
+    SLOWDOWN_DURATION_S,
+    SentTicket,
+    TargetLoads,
+)
 from lagoonlever.decisions.targets.reported_load import USUAL, LoadReport, ReportedLoad
 
 SLOTS = 6.0
@@ -74,7 +79,9 @@
 def test_slowness_returns_to_the_usual_within_the_slowdown_duration() -> None:
     loads = TargetLoads()
     loads.record_report(report(at=0.0, slowness=2.5))
-    seen = [loads.estimate("t", MOMENT_S * part).slowness for part in (0.0, 0.5, 1.0, 9.0)]
+    seen = [
+        loads.estimate("t", SLOWDOWN_DURATION_S * part).slowness for part in (0.0, 0.5, 1.0, 9.0)
+    ]
     assert seen == [2.5, 1.75, USUAL, USUAL]
 
 
--- a/lagoonlever/tests/load_words_tests.py
+++ b/lagoonlever/tests/load_words_tests.py
@@ -6,7 +6,7 @@
 import trio
 
 from lagoonlever.decisions.targets.load_estimate import LoadEstimate, LoadSource
-from lagoonlever.decisions.targets.load_view import MOMENT_S
+from lagoonlever.decisions.targets.load_view import SLOWDOWN_DURATION_S
 from lagoonlever.decisions.targets.reported_load import LoadReport, ReportedLoad
 from lagoonlever.fakes.platform_runner import Conduct
 from lagoonlever.gateway.beliefs import Beliefs
@@ -115,5 +115,8 @@
     silent = ReportedLoad(running=4.0, waiting=1.0, slots=16.0)
     told = attrs.evolve(silent, slowness=2.5)
     assert EngineWord.of(LoadReport(target="e", load=silent, at=1.0), 1.0) is None
-    assert EngineWord.of(LoadReport(target="e", load=told, at=1.0), 1.0 + 2 * MOMENT_S) is None
+    assert (
+        EngineWord.of(LoadReport(target="e", load=told, at=1.0), 1.0 + 2 * SLOWDOWN_DURATION_S)
+        is None
+    )
     assert EngineWord.of(None, 1.0) is None
