--- a/lagoonlever/decisions/admission/runner_slots.py
+++ b/lagoonlever/decisions/admission/runner_slots.py
@@ -15,7 +15,7 @@
     MAX_AVOID_S,
     STALLED_AFTER_LOSSES,
 )
-from lagoonlever.decisions.targets.reported_load import USUAL, ReportedLoad
+from lagoonlever.decisions.targets.reported_load import USUAL_SLOWNESS, ReportedLoad
 
 DEFAULT_SLOTS = 2.0
 """Slots of a runner that has not reported how many it has."""
@@ -86,9 +86,9 @@
         A reported slowdown fades, as machines are slow for moments only.
         """
         if self._load is None or self._load.slowness is None:
-            return USUAL
+            return USUAL_SLOWNESS
         weight = max(0.0, 1.0 - self.report_age_s(now) / SLOWDOWN_FADE_S)
-        return USUAL + (self._load.slowness - USUAL) * weight
+        return USUAL_SLOWNESS + (self._load.slowness - USUAL_SLOWNESS) * weight
 
     def busy_slots(self, now: float) -> float:
         """Return the number of calls that are at the runner or on their way to it."""
--- a/lagoonlever/decisions/targets/load_estimate.py
+++ b/lagoonlever/decisions/targets/load_estimate.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from lagoonlever.decisions.targets.reported_load import USUAL
+from lagoonlever.decisions.targets.reported_load import USUAL_SLOWNESS
 
 
 class LoadSource(enum.Enum):
@@ -28,7 +28,7 @@
     running: float
     waiting: float
     slots: float
-    slowness: float = USUAL
+    slowness: float = USUAL_SLOWNESS
     """The slowdown factor; returns to the usual 1.0 as the load report ages."""
     age_s: float = float("inf")
     """Seconds since the load report was true."""
--- a/lagoonlever/decisions/targets/load_view.py
+++ b/lagoonlever/decisions/targets/load_view.py
@@ -16,7 +16,7 @@
 import attrs
 
 from lagoonlever.decisions.targets.load_estimate import LoadEstimate, LoadSource
-from lagoonlever.decisions.targets.reported_load import USUAL, LoadReport
+from lagoonlever.decisions.targets.reported_load import USUAL_SLOWNESS, LoadReport
 
 SLOWDOWN_DURATION_S = 0.6
 """How long a machine that targets share with others is slow at a time."""
@@ -179,9 +179,9 @@
         state = self._states.get(target)
         reported = state.report.load.slowness if state and state.report else None
         if state is None or state.report is None or reported is None:
-            return USUAL
+            return USUAL_SLOWNESS
         left = max(0.0, 1.0 - (now - state.report.at) / SLOWDOWN_DURATION_S)
-        return USUAL + (reported - USUAL) * min(1.0, left)
+        return USUAL_SLOWNESS + (reported - USUAL_SLOWNESS) * min(1.0, left)
 
     def estimate(self, target: str, now: float) -> LoadEstimate:
         """Return the estimated load of a target.
--- a/lagoonlever/decisions/targets/reported_load.py
+++ b/lagoonlever/decisions/targets/reported_load.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-USUAL = 1.0
+USUAL_SLOWNESS = 1.0
 """The slowdown factor of a machine on which work takes as long as usual."""
 
 
--- a/lagoonlever/tests/load_view_tests.py
+++ b/lagoonlever/tests/load_view_tests.py
@@ -13,7 +13,7 @@
     SentTicket,
     TargetLoads,
 )
-from lagoonlever.decisions.targets.reported_load import USUAL, LoadReport, ReportedLoad
+from lagoonlever.decisions.targets.reported_load import USUAL_SLOWNESS, LoadReport, ReportedLoad
 
 SLOTS = 6.0
 
@@ -82,7 +82,7 @@
     seen = [
         loads.estimate("t", SLOWDOWN_DURATION_S * part).slowness for part in (0.0, 0.5, 1.0, 9.0)
     ]
-    assert seen == [2.5, 1.75, USUAL, USUAL]
+    assert seen == [2.5, 1.75, USUAL_SLOWNESS, USUAL_SLOWNESS]
 
 
 def test_an_older_relayed_report_does_not_replace_a_newer_one() -> None:
@@ -188,7 +188,7 @@
     def figures_stay_within_bounds(self) -> None:
         estimate = self.loads.estimate("t", self.now)
         assert min(estimate.running, estimate.waiting, estimate.error, estimate.age_s) >= 0.0
-        assert USUAL <= estimate.slowness <= 2.5
+        assert USUAL_SLOWNESS <= estimate.slowness <= 2.5
 
     @invariant()
     def a_new_incarnation_starts_with_no_report(self) -> None:
