--- a/lagoonlever/decisions/targets/limit_permits.py
+++ b/lagoonlever/decisions/targets/limit_permits.py
@@ -163,7 +163,7 @@
         """Record that a VM answered a request."""
         self._misses.pop(vm, None)
 
-    def missed(self, vm: str, now: float) -> None:
+    def record_miss(self, vm: str, now: float) -> None:
         """Record that a VM did not answer a request."""
         known = self._misses.get(vm)
         if known is None or now - known.at > MISSES_KEPT_S:
--- a/lagoonlever/gateway/permit_exchange.py
+++ b/lagoonlever/gateway/permit_exchange.py
@@ -99,7 +99,7 @@
 
         answer = await self._questions.ask(state.bus, question, PermitTold, timeout_s=ANSWER_S)
         if answer is None:
-            self._silent.missed(vm, self._timers.now)
+            self._silent.record_miss(vm, self._timers.now)
             events.COUNTER_SILENT.log(log, vm=vm, target=target, seconds=ANSWER_S)
             return None
         self._silent.answered(vm)
--- a/lagoonlever/tests/limit_permits_tests.py
+++ b/lagoonlever/tests/limit_permits_tests.py
@@ -115,14 +115,14 @@
     """Guards against a stand-in for a VM that paused once while many requests were at it."""
     silent = SilentVms()
     for now in (1.0, 1.01, 1.02):
-        silent.missed("vm-1", now)
+        silent.record_miss("vm-1", now)
     assert not silent.is_silent("vm-1", 1.02)
-    silent.missed("vm-1", 1.2)
+    silent.record_miss("vm-1", 1.2)
     assert silent.is_silent("vm-1", 1.2)
     assert not silent.is_silent("vm-1", 1.3 + MISSES_KEPT_S)
     silent.answered("vm-1")
     assert not silent.is_silent("vm-1", 1.2)
-    silent.missed("vm-1", 1.4)
+    silent.record_miss("vm-1", 1.4)
     assert not silent.is_silent("vm-1", 1.4)
 
 
