--- a/lagoonlever/decisions/targets/rests.py
+++ b/lagoonlever/decisions/targets/rests.py
@@ -11,7 +11,7 @@
 
 
 @attrs.define(kw_only=True)
-class RestingTargets:
+class BackoffTargets:
     """Until when each target wants no requests from this VM; times in monotonic seconds."""
 
     _until: dict[str, float] = attrs.field(factory=dict)
--- a/lagoonlever/entry/services/rests.py
+++ b/lagoonlever/entry/services/rests.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from lagoonlever.decisions.targets.rests import RestingTargets
+from lagoonlever.decisions.targets.rests import BackoffTargets
 from lagoonlever.http.client import Response
 from lagoonlever.outcomes import RETRY_AFTER_HEADER
 from lagoonlever.timers import TimerService
@@ -22,7 +22,7 @@
     """Shared by all that send requests to runners."""
 
     _timers: TimerService
-    _resting: RestingTargets = attrs.field(factory=RestingTargets)
+    _resting: BackoffTargets = attrs.field(factory=BackoffTargets)
 
     def note(self, runner: str, response: Response) -> None:
         """Take how long a runner wants nothing, if its answer says so."""
--- a/lagoonlever/tests/target_words_tests.py
+++ b/lagoonlever/tests/target_words_tests.py
@@ -5,7 +5,7 @@
 import pytest
 import trio
 
-from lagoonlever.decisions.targets.rests import RestingTargets
+from lagoonlever.decisions.targets.rests import BackoffTargets
 from lagoonlever.fakes.platform_engine import EngineConduct
 from lagoonlever.fakes.platform_runner import Conduct
 from lagoonlever.gateway.prober import EngineProber
@@ -223,7 +223,7 @@
 
 
 def test_a_shorter_rest_does_not_end_a_longer_one() -> None:
-    rests = RestingTargets()
+    rests = BackoffTargets()
     rests.record("t", 3.0, 10.0)
     rests.record("t", 1.0, 10.5)
     assert rests.remaining_s("t", 12.0) == 1.0
@@ -234,7 +234,7 @@
 
 
 def test_a_process_that_has_the_id_of_a_resting_target_has_asked_for_none() -> None:
-    rests = RestingTargets()
+    rests = BackoffTargets()
     rests.record("t", 3.0, 10.0)
     rests.forget("t")
     assert rests.remaining_s("t", 10.0) == 0.0
