--- a/lagoonlever/decisions/targets/limit_permits.py
+++ b/lagoonlever/decisions/targets/limit_permits.py
@@ -159,7 +159,7 @@
 
     _misses: dict[str, _Misses] = attrs.field(factory=dict)
 
-    def answered(self, vm: str) -> None:
+    def record_answer(self, vm: str) -> None:
         """Record that a VM answered a request."""
         self._misses.pop(vm, None)
 
--- a/lagoonlever/gateway/permit_exchange.py
+++ b/lagoonlever/gateway/permit_exchange.py
@@ -102,7 +102,7 @@
             self._silent.record_miss(vm, self._timers.now)
             events.COUNTER_SILENT.log(log, vm=vm, target=target, seconds=ANSWER_S)
             return None
-        self._silent.answered(vm)
+        self._silent.record_answer(vm)
         if answer.word is not None:
             self.learn(answer.word)
         return answer.outcome
--- a/lagoonlever/tests/limit_permits_tests.py
+++ b/lagoonlever/tests/limit_permits_tests.py
@@ -120,7 +120,7 @@
     silent.record_miss("vm-1", 1.2)
     assert silent.is_silent("vm-1", 1.2)
     assert not silent.is_silent("vm-1", 1.3 + MISSES_KEPT_S)
-    silent.answered("vm-1")
+    silent.record_answer("vm-1")
     assert not silent.is_silent("vm-1", 1.2)
     silent.record_miss("vm-1", 1.4)
     assert not silent.is_silent("vm-1", 1.4)
