--- a/lagoonlever/decisions/targets/limit_permits.py
+++ b/lagoonlever/decisions/targets/limit_permits.py
@@ -45,7 +45,7 @@
 
 If the coordinator is only slow and issues the whole limit, the sum stays below 1.5 of the limit.
 """
-SILENT_MISSES = 2
+MAX_MISSES = 2
 """A VM counts as silent after this many unanswered requests in succession; one may get lost."""
 MIN_MISS_SPACING_S = 0.05
 """Unanswered requests that are closer in time count as one, as one pause affects them all."""
@@ -172,11 +172,11 @@
             self._misses[vm] = _Misses(count=known.count + 1, at=now)
 
     def is_silent(self, vm: str, now: float) -> bool:
-        """Check whether a VM left ``SILENT_MISSES`` requests in succession unanswered."""
+        """Check whether a VM left ``MAX_MISSES`` requests in succession unanswered."""
         known = self._misses.get(vm)
         if known is None or now - known.at > MISSES_KEPT_S:
             return False
-        return known.count >= SILENT_MISSES
+        return known.count >= MAX_MISSES
 
     def retain(self, vms: Collection[str]) -> None:
         """Remove all other VMs."""
--- a/lagoonlever/gateway/permit_exchange.py
+++ b/lagoonlever/gateway/permit_exchange.py
@@ -11,7 +11,7 @@
 from lagoonlever.decisions.fleet.roles import Roles
 from lagoonlever.decisions.targets.limit_permits import (
     MIN_RATE_PER_S,
-    SILENT_MISSES,
+    MAX_MISSES,
     STAND_IN_SHARE,
     Denied,
     Granted,
@@ -170,7 +170,7 @@
 
     async def _probe(self, counter: str, target: str) -> None:
         """Ask the VM that counts for no permit, until it answers or is known to be silent."""
-        for _ in range(SILENT_MISSES):
+        for _ in range(MAX_MISSES):
             word = self._named.last(target)
             if word is None or await self._ask_vm(counter, target, word, PROBE_NEED) is not None:
                 return
