--- a/lagoonlever/decisions/targets/registry.py
+++ b/lagoonlever/decisions/targets/registry.py
@@ -145,7 +145,7 @@
         return self._versions.setdefault(service, ServiceVersions())
 
     @property
-    def rolled_out(self) -> tuple[str, ...]:
+    def versioned_services(self) -> tuple[str, ...]:
         """The services whose versions are tracked."""
         return tuple(self._versions)
 
--- a/lagoonlever/gateway/metrics_page.py
+++ b/lagoonlever/gateway/metrics_page.py
@@ -48,7 +48,7 @@
         self._tally.set(metrics.CONFIGURATION_VERSION, float(self._beliefs.version))
         self._tally.set(metrics.FELLOWS, float(offered), "offered")
         self._tally.set(metrics.FELLOWS, float(len(fellows.states) - offered), "silent")
-        for service in self._beliefs.targets.rolled_out:
+        for service in self._beliefs.targets.versioned_services:
             shut_out = self._beliefs.targets.count_blocked_by_version(service)
             self._tally.set(metrics.SHUT_OUT, float(shut_out), service)
         self._sample_loads()
