--- a/lagoonlever/decisions/targets/replacements.py
+++ b/lagoonlever/decisions/targets/replacements.py
@@ -17,7 +17,7 @@
 
 import attrs
 
-ASK_AFTER_S = (1.35, 1.5)
+PROBE_DELAYS_S = (1.35, 1.5)
 """How long after the target's last sign of life its address is probed, for each probe in turn.
 
 Engines that crash are back after 1.2 s or more.
--- a/lagoonlever/gateway/replacement_finder.py
+++ b/lagoonlever/gateway/replacement_finder.py
@@ -10,7 +10,7 @@
 
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS, gives
 from lagoonlever.decisions.targets.listed_target import ListedTarget
-from lagoonlever.decisions.targets.replacements import ASK_AFTER_S, same_service
+from lagoonlever.decisions.targets.replacements import PROBE_DELAYS_S, same_service
 from lagoonlever.exceptions import PeerError
 from lagoonlever.gateway import events
 from lagoonlever.gateway.beliefs import Beliefs
@@ -74,7 +74,7 @@
 
     async def _look(self, target: ListedTarget, alive_at: float) -> None:
         try:
-            for after_s in ASK_AFTER_S:
+            for after_s in PROBE_DELAYS_S:
                 await trio.sleep(max(0.0, alive_at + after_s - self._timers.elapsed))
                 if self._beliefs.targets.is_address_taken(target.id):
                     return
