--- a/lagoonlever/decisions/targets/replacements.py
+++ b/lagoonlever/decisions/targets/replacements.py
@@ -63,7 +63,7 @@
             self.alive_at = self._empty_at
 
 
-def same_service(*, alive_at: float, answered_at: float, reuse_s: float) -> bool:
+def is_same_service(*, alive_at: float, answered_at: float, reuse_s: float) -> bool:
     """Check that an address can't have been assigned to another service in the meantime.
 
     ``alive_at`` is the time of the former target's last sign of life, ``answered_at`` that of the
--- a/lagoonlever/gateway/replacement_finder.py
+++ b/lagoonlever/gateway/replacement_finder.py
@@ -10,7 +10,7 @@
 
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS, gives
 from lagoonlever.decisions.targets.listed_target import ListedTarget
-from lagoonlever.decisions.targets.replacements import PROBE_DELAYS_S, same_service
+from lagoonlever.decisions.targets.replacements import PROBE_DELAYS_S, is_same_service
 from lagoonlever.exceptions import PeerError
 from lagoonlever.gateway import events
 from lagoonlever.gateway.beliefs import Beliefs
@@ -91,7 +91,7 @@
             # It is back under its id: nothing of before counts against it.
             self._beliefs.book.avoidance.served(target_id)
             return
-        proved = same_service(
+        proved = is_same_service(
             alive_at=alive_at, answered_at=self._timers.elapsed, reuse_s=self._reuse_s()
         )
         if not proved:
--- a/lagoonlever/tests/replacements_tests.py
+++ b/lagoonlever/tests/replacements_tests.py
@@ -11,7 +11,7 @@
     MIN_WAIT_S,
     UNLISTED_S,
     LifeSigns,
-    same_service,
+    is_same_service,
 )
 from lagoonlever.http.messages import Address
 from lagoonlever.tests.base import at
@@ -39,8 +39,8 @@
 
 def test_an_address_may_belong_to_another_service_after_a_while() -> None:
     limit_s = REUSE_S - DELAY_MARGIN_S
-    assert same_service(alive_at=10.0, answered_at=10.0 + limit_s - 0.01, reuse_s=REUSE_S)
-    assert not same_service(alive_at=10.0, answered_at=10.01 + limit_s, reuse_s=REUSE_S)
+    assert is_same_service(alive_at=10.0, answered_at=10.0 + limit_s - 0.01, reuse_s=REUSE_S)
+    assert not is_same_service(alive_at=10.0, answered_at=10.01 + limit_s, reuse_s=REUSE_S)
 
 
 def test_a_sign_of_life_is_dated_by_the_last_moment_with_nothing_to_read() -> None:
