--- a/lagoonlever/decisions/targets/registry.py
+++ b/lagoonlever/decisions/targets/registry.py
@@ -41,7 +41,7 @@
 from lagoonlever.decisions.rollouts.versions import RolloutOrder, ServiceVersions
 from lagoonlever.decisions.targets.leave_announcements import FORGET_S, LeaveAnnouncements
 from lagoonlever.decisions.targets.listed_target import ListedTarget, TargetChange
-from lagoonlever.decisions.targets.replacements import UNLISTED_S
+from lagoonlever.decisions.targets.replacements import UNLISTED_LIFETIME_S
 from lagoonlever.decisions.targets.restored_entries import may_be_restored
 from lagoonlever.revisions import NOWHERE, Revision
 
@@ -335,7 +335,7 @@
         for target in there:
             self._replaced_at[target.id] = now
         self._targets[new_id] = attrs.evolve(former, id=new_id, draining=False)
-        self._unlisted_until[new_id] = now + UNLISTED_S
+        self._unlisted_until[new_id] = now + UNLISTED_LIFETIME_S
         return True
 
     def expire(self, now: float, *, store_away: bool = False) -> tuple[TargetChange, ...]:
@@ -344,7 +344,7 @@
         A target without an entry stays in use while the store is away, as it can't register.
         """
         if store_away:
-            self._unlisted_until = dict.fromkeys(self._unlisted_until, now + UNLISTED_S)
+            self._unlisted_until = dict.fromkeys(self._unlisted_until, now + UNLISTED_LIFETIME_S)
         for target_id in [t for t, until in self._unlisted_until.items() if now >= until]:
             del self._unlisted_until[target_id]
             self._remove(target_id, self._known_revision(target_id), now)
--- a/lagoonlever/decisions/targets/replacements.py
+++ b/lagoonlever/decisions/targets/replacements.py
@@ -31,7 +31,7 @@
 
 Data that is read at once may have arrived long before, for example during a pause of this VM.
 """
-UNLISTED_S = 4.0
+UNLISTED_LIFETIME_S = 4.0
 """How long a target may be used without an entry while the store can be reached."""
 
 
--- a/lagoonlever/tests/replacements_tests.py
+++ b/lagoonlever/tests/replacements_tests.py
@@ -9,7 +9,7 @@
 from lagoonlever.decisions.targets.replacements import (
     DELAY_MARGIN_S,
     MIN_WAIT_S,
-    UNLISTED_S,
+    UNLISTED_LIFETIME_S,
     LifeSigns,
     is_same_service,
 )
@@ -80,7 +80,7 @@
     listed.adopt_unlisted("old", "new", 1.0)
     listed.expire(20.0, store_away=True)
     assert serving(listed) == ["new"]
-    listed.expire(20.0 + UNLISTED_S + 0.1)
+    listed.expire(20.0 + UNLISTED_LIFETIME_S + 0.1)
     assert serving(listed) == []
 
 
