--- a/lagoonlever/decisions/targets/named_limits.py
+++ b/lagoonlever/decisions/targets/named_limits.py
@@ -32,7 +32,7 @@
 
 
 @attrs.define(kw_only=True)
-class NamedLimits:
+class ReportedLimits:
     """The newest limit report of each target that has ever reported a limit."""
 
     _reports: dict[str, LimitReport] = attrs.field(factory=dict)
--- a/lagoonlever/gateway/parts.py
+++ b/lagoonlever/gateway/parts.py
@@ -10,7 +10,7 @@
 from lagoonlever.decisions.engines.engine_book import EngineBook
 from lagoonlever.decisions.fleet.peer_table import PeerState, PeerTable
 from lagoonlever.decisions.settings.configuration import ClientLimits
-from lagoonlever.decisions.targets.named_limits import NamedLimits
+from lagoonlever.decisions.targets.named_limits import ReportedLimits
 from lagoonlever.decisions.targets.registry import TargetRegistry
 from lagoonlever.gateway.beliefs import Beliefs
 from lagoonlever.gateway.cache_locator import CacheLocator
@@ -259,7 +259,7 @@
 
     @limits.default
     def _make_limits(self) -> TargetLimits:
-        named = NamedLimits()
+        named = ReportedLimits()
         permits = PermitExchange(
             bus=self.bus,
             beliefs=self.beliefs,
--- a/lagoonlever/gateway/permit_exchange.py
+++ b/lagoonlever/gateway/permit_exchange.py
@@ -20,7 +20,7 @@
     SilentVms,
     limit_coordinators,
 )
-from lagoonlever.decisions.targets.named_limits import LimitReport, NamedLimits
+from lagoonlever.decisions.targets.named_limits import LimitReport, ReportedLimits
 from lagoonlever.gateway import events
 from lagoonlever.gateway.beliefs import Beliefs
 from lagoonlever.gateway.questions import Questions
@@ -52,7 +52,7 @@
     _vm: str
     """This VM's name."""
     _leaving: Callable[[], bool]
-    _named: NamedLimits
+    _named: ReportedLimits
     _book: PermitBuckets = attrs.field(factory=PermitBuckets)
     _silent: SilentVms = attrs.field(factory=SilentVms)
     _probed_at: dict[str, float] = attrs.field(factory=dict)
--- a/lagoonlever/gateway/target_limits.py
+++ b/lagoonlever/gateway/target_limits.py
@@ -22,7 +22,7 @@
     PermitOutcome,
 )
 from lagoonlever.decisions.targets.listed_target import ListedTarget
-from lagoonlever.decisions.targets.named_limits import LimitReport, NamedLimits
+from lagoonlever.decisions.targets.named_limits import LimitReport, ReportedLimits
 from lagoonlever.gateway import events, metrics
 from lagoonlever.gateway.beliefs import Beliefs
 from lagoonlever.gateway.hub_spread import HubSpread
@@ -64,7 +64,7 @@
     _timers: TimerService
     _tally: Tally
     _rng: random.Random
-    _named: NamedLimits
+    _named: ReportedLimits
     _permits: PermitExchange
     _spread: HubSpread
     _held: DeniedTargets = attrs.field(factory=DeniedTargets)
--- a/lagoonlever/tests/limit_permits_tests.py
+++ b/lagoonlever/tests/limit_permits_tests.py
@@ -22,7 +22,7 @@
     limit_coordinator,
     required_permits,
 )
-from lagoonlever.decisions.targets.named_limits import LimitReport, NamedLimits
+from lagoonlever.decisions.targets.named_limits import LimitReport, ReportedLimits
 
 MIN_USED = {9: 0.9, 75: 0.8, 195: 0.8, 300: 0.8}
 
@@ -146,7 +146,7 @@
 
 def test_an_overtaken_answer_without_a_limit_does_not_end_one() -> None:
     """Guards against a burst of requests, as an answer of before a limit arrives after it."""
-    named = NamedLimits()
+    named = ReportedLimits()
     assert named.update("t", LimitReport.from_answer(5.0, sent_at=0.9, now=1.0))
     assert not named.update("t", LimitReport.from_answer(None, sent_at=0.8, now=1.1))
     assert named.current("t") is not None
@@ -161,7 +161,7 @@
         super().__init__()
         self.now = 0.0
         self.reports: list[LimitReport] = []
-        self.named = NamedLimits()
+        self.named = ReportedLimits()
         self.newest: LimitReport | None = None
 
     @rule(per_s=st.one_of(st.none(), st.floats(0.0, 1e9)), later=st.floats(0.001, 5.0))
--- a/lagoonlever/tests/limits_fleet_tests.py
+++ b/lagoonlever/tests/limits_fleet_tests.py
@@ -13,7 +13,7 @@
 from lagoonlever.decisions.fleet.roles import assign_roles
 from lagoonlever.decisions.targets.limit_permits import MIN_REQUIRED_PERMITS, Granted
 from lagoonlever.decisions.targets.listed_target import ListedTarget, TargetChange
-from lagoonlever.decisions.targets.named_limits import NamedLimits
+from lagoonlever.decisions.targets.named_limits import ReportedLimits
 from lagoonlever.gateway.hub_spread import HubSpread
 from lagoonlever.gateway.messages import AnswerHead
 from lagoonlever.gateway.permit_exchange import PermitExchange
@@ -102,7 +102,7 @@
 
 def limit_vm(vm: FleetVm) -> LimitVm:
     """Give a VM its part in keeping to limits."""
-    name, named, roles = vm.state.life.name, NamedLimits(), vm.presence.roles
+    name, named, roles = vm.state.life.name, ReportedLimits(), vm.presence.roles
     change = TargetChange(id="t", target=TARGET, revision=Revision(number=1))
     vm.beliefs.targets.change(change, now=0.0, store_back_at=None)
     permits = PermitExchange(
