--- a/lagoonlever/decisions/targets/named_limits.py
+++ b/lagoonlever/decisions/targets/named_limits.py
@@ -49,7 +49,7 @@
         report = self._reports.get(target)
         return report if report is not None and report.per_s is not None else None
 
-    def last(self, target: str) -> LimitReport | None:
+    def latest(self, target: str) -> LimitReport | None:
         """Return the newest report of a target, also one that there is no limit any more."""
         return self._reports.get(target)
 
--- a/lagoonlever/gateway/permit_exchange.py
+++ b/lagoonlever/gateway/permit_exchange.py
@@ -171,7 +171,7 @@
     async def _probe(self, counter: str, target: str) -> None:
         """Ask the VM that counts for no permit, until it answers or is known to be silent."""
         for _ in range(MAX_MISSES):
-            word = self._named.last(target)
+            word = self._named.latest(target)
             if word is None or await self._ask_vm(counter, target, word, PROBE_NEED) is not None:
                 return
 
@@ -196,6 +196,6 @@
             if now - self._probed_at.get(counter, float("-inf")) >= PROBE_EVERY_S:
                 self._probed_at[counter] = now
                 nursery.start_soon(self._probe, counter, target)
-        word = self._named.last(target)
+        word = self._named.latest(target)
         told = self.told(target, word) if word is not None else None
         self._bus.send(asked.reply_to, PermitTold.of(asked.number, outcome, told))
