--- a/lagoonlever/decisions/targets/load.py
+++ b/lagoonlever/decisions/targets/load.py
@@ -98,7 +98,7 @@
         report.impaired_until = now + min(MAX_IMPAIRED_S, doubled_s)
         report.failures = min(report.failures + 1, 8)
 
-    def keep_only(self, targets: Iterable[Target]) -> None:
+    def retain(self, targets: Iterable[Target]) -> None:
         """Remove the reports of all other targets, and of other incarnations of these."""
         kept = {target.incarnation for target in targets}
         self._reports = {key: report for key, report in self._reports.items() if key in kept}
--- a/lagoonlever/entry/targets/targets.py
+++ b/lagoonlever/entry/targets/targets.py
@@ -243,7 +243,7 @@
         if targets == self.view.value.targets:
             return
         self._log_changes(targets)
-        self._reports.keep_only(targets)
+        self._reports.retain(targets)
         self.view.publish(TargetView(targets=targets))
 
     def _log_changes(self, targets: tuple[Target, ...]) -> None:
