--- a/lagoonlever/bench/target_limits_model.py
+++ b/lagoonlever/bench/target_limits_model.py
@@ -15,8 +15,8 @@
 from lagoonlever.decisions.fleet.rendezvous import rank_by_hash
 from lagoonlever.decisions.targets.limit_permits import (
     MIN_REQUIRED_PERMITS,
-    Granted,
     DeniedTargets,
+    Granted,
     PermitBuckets,
 )
 
--- a/lagoonlever/gateway/permit_exchange.py
+++ b/lagoonlever/gateway/permit_exchange.py
@@ -10,8 +10,8 @@
 
 from lagoonlever.decisions.fleet.roles import Roles
 from lagoonlever.decisions.targets.limit_permits import (
-    MIN_RATE_PER_S,
     MAX_MISSES,
+    MIN_RATE_PER_S,
     STAND_IN_SHARE,
     Denied,
     Granted,
--- a/lagoonlever/gateway/target_limits.py
+++ b/lagoonlever/gateway/target_limits.py
@@ -17,8 +17,8 @@
 from lagoonlever.decisions.admission.limits import retry_after_s
 from lagoonlever.decisions.targets.limit_permits import (
     Denied,
-    Granted,
     DeniedTargets,
+    Granted,
     PermitOutcome,
 )
 from lagoonlever.decisions.targets.listed_target import ListedTarget
--- a/lagoonlever/tests/limit_permits_tests.py
+++ b/lagoonlever/tests/limit_permits_tests.py
@@ -14,12 +14,12 @@
     MISSES_KEPT_S,
     STAND_IN_SHARE,
     Denied,
-    Granted,
     DeniedTargets,
+    Granted,
     PermitBuckets,
     SilentVms,
-    limit_coordinators,
     limit_coordinator,
+    limit_coordinators,
     required_permits,
 )
 from lagoonlever.decisions.targets.named_limits import LimitReport, ReportedLimits
