--- a/lagoonlever/bench/placing_fleet.py
+++ b/lagoonlever/bench/placing_fleet.py
@@ -120,7 +120,9 @@
     made = {}
     for name, vm in fleet.vms.items():
         vm.beliefs.configuration.publish(configuration)
-        vm.beliefs.targets.read(listed, revision=Revision(number=1), now=0.0, store_back_at=None)
+        vm.beliefs.targets.apply_list(
+            listed, revision=Revision(number=1), now=0.0, store_back_at=None
+        )
         vm.beliefs.known.set()
         made[name] = _placing_vm(fleet, vm)
     return made
--- a/lagoonlever/bench/target_limits_model.py
+++ b/lagoonlever/bench/target_limits_model.py
@@ -148,18 +148,18 @@
 
     def _ask(self, vm: str, target: str, counter: str, dead: str, now: float) -> bool:
         held = self._held.setdefault(vm, DeniedTargets())
-        if held.is_held(target, need=MIN_REQUIRED_PERMITS, now=now):
+        if held.is_denied(target, need=MIN_REQUIRED_PERMITS, now=now):
             return False
         is_gone = counter == dead and now >= DIES_AT_S
         if counter != vm and (is_gone or self._rng.random() < 2 * self._case.lost):
-            held.hold(target, need=MIN_REQUIRED_PERMITS, until=now + UNSURE_S)
+            held.record_denial(target, need=MIN_REQUIRED_PERMITS, until=now + UNSURE_S)
             return False
         book = self._books.setdefault(counter, PermitBuckets())
-        outcome = book.ask(target, per_s=self._case.per_s, need=MIN_REQUIRED_PERMITS, now=now)
+        outcome = book.acquire(target, per_s=self._case.per_s, need=MIN_REQUIRED_PERMITS, now=now)
         if isinstance(outcome, Granted):
             return True
         wait_s = outcome.wait_s * self._rng.uniform(1.0, 1.0 + HOLD_SPREAD)
-        held.hold(target, need=MIN_REQUIRED_PERMITS, until=now + wait_s)
+        held.record_denial(target, need=MIN_REQUIRED_PERMITS, until=now + wait_s)
         return False
 
     def _bucket(self, vm: str, target: str) -> _Bucket:
--- a/lagoonlever/bench/target_list.py
+++ b/lagoonlever/bench/target_list.py
@@ -196,7 +196,7 @@
         if index >= readers and self.now > SETTLE_S / 2:
             return
         reading = TargetListReading(targets=tuple(self._listed), read_at=self.now)
-        self._send(index, knowledge.read(reading))
+        self._send(index, knowledge.on_list_read(reading))
 
     def _until_next_read(self, index: int) -> float:
         period_s = list_read_interval_s(self.vms, self.rng)
@@ -209,11 +209,11 @@
     def _deliver(self, knowledge: TargetKnowledge, message: object) -> list[Send]:
         match message:
             case TargetLeavingUpdate():
-                return knowledge.heard(message, self.now)
+                return knowledge.on_leaving_update(message, self.now)
             case TargetListQuery():
-                return knowledge.asked(message, self.now)
+                return knowledge.on_list_query(message, self.now)
             case TargetListAnswer():
-                return knowledge.answered(message, self.now)
+                return knowledge.on_list_answer(message, self.now)
         return []
 
     def _send(self, sender: int, sends: list[Send]) -> None:
--- a/lagoonlever/decisions/targets/load_view.py
+++ b/lagoonlever/decisions/targets/load_view.py
@@ -214,7 +214,7 @@
             return False
         state.update_drift(report)
         state.report, state.source = report, source
-        state.reports_slowness = report.load.tells_slowness
+        state.reports_slowness = report.load.reports_slowness
         return True
 
     def _state(self, target: str) -> _TargetState:
--- a/lagoonlever/decisions/targets/registry.py
+++ b/lagoonlever/decisions/targets/registry.py
@@ -397,7 +397,7 @@
             target = attrs.evolve(target, draining=True)
         self._mark_unconfirmed(target, now)
         self._announcements.apply_entry(target, former_start=start)
-        if target.has_started_again(start):
+        if target.has_restarted_since(start):
             self._replaced_at.pop(target.id, None)
             self._former_starts.pop(target.id, None)
         was_held = self._held_removals.pop(target.id, None) is not None
@@ -420,7 +420,7 @@
 
     def _is_still_draining(self, known: ListedTarget, entry: ListedTarget) -> bool:
         """Check whether a draining target is listed by an entry from before it began to drain."""
-        restarted = entry.has_started_again(known.started_ms)
+        restarted = entry.has_restarted_since(known.started_ms)
         if not known.draining or restarted:
             return False
         return may_be_restored(entry.revision, known=known.revision)
@@ -432,7 +432,7 @@
         """
         gone = self._removed.get(target.id)
         self._unconfirmed_until.pop(target.id, None)
-        if gone is None or target.has_started_again(gone.started_ms):
+        if gone is None or target.has_restarted_since(gone.started_ms):
             return
         if may_be_restored(target.revision, known=gone.revision):
             self._unconfirmed_until[target.id] = now + self.lapse_s
--- a/lagoonlever/gateway/learner.py
+++ b/lagoonlever/gateway/learner.py
@@ -139,7 +139,7 @@
     def _note_start(self, target_id: str, former: int | None, *, source: str) -> None:
         """Let go of what was learnt of a target's process, if another one has its id now."""
         target = self._beliefs.targets.find(target_id)
-        if target is None or not target.has_started_again(former):
+        if target is None or not target.has_restarted_since(former):
             return
         started_ms = target.started_ms
         assert started_ms is not None
--- a/lagoonlever/gateway/stream_attempt.py
+++ b/lagoonlever/gateway/stream_attempt.py
@@ -336,7 +336,7 @@
     def _has_started_again(self) -> bool:
         """Tell whether the engine is another process than the one that the run was sent to."""
         engine = self._tools.beliefs.targets.find(self._plan.engine.id)
-        return engine is not None and engine.has_started_again(self._plan.run.engine_started_ms)
+        return engine is not None and engine.has_restarted_since(self._plan.run.engine_started_ms)
 
     async def _accept_head(self, response: Response, head: AnswerHead) -> bool:
         """Judge the head of an answer; begins the caller's answer with a first good one."""
--- a/lagoonlever/tests/call_places_tests.py
+++ b/lagoonlever/tests/call_places_tests.py
@@ -106,7 +106,7 @@
         )
         for number, name in enumerate(RUNNERS)
     ]
-    vm.beliefs.targets.read(listed, revision=Revision(number=1), now=0.0, store_back_at=None)
+    vm.beliefs.targets.apply_list(listed, revision=Revision(number=1), now=0.0, store_back_at=None)
     tally = Tally()
     desk = CallDesk(
         bus=vm.bus, beliefs=vm.beliefs, timers=vm.timers, tally=tally, rests=lambda _name: False
--- a/lagoonlever/tests/gateway_knowledge_tests.py
+++ b/lagoonlever/tests/gateway_knowledge_tests.py
@@ -45,7 +45,7 @@
     await trio.sleep(4.0)
     value = json.dumps(configuration(1)).encode()
     for vm in fleet.vms.values():
-        vm.beliefs.targets.seen_up_to(at(FIRST_REVISION))
+        vm.beliefs.targets.advance_to(at(FIRST_REVISION))
         vm.learner.take_configuration(value, source="store")
     await trio.sleep(0.4)
 
@@ -56,7 +56,7 @@
     change = target(number, at(FIRST_REVISION + 1 + number))
     after = vm.beliefs.targets.as_of
     if vm.learner.take_change(change):
-        vm.beliefs.targets.seen_up_to(change.revision)
+        vm.beliefs.targets.advance_to(change.revision)
         vm.knowledge.push_targets((change,), after=after)
 
 
--- a/lagoonlever/tests/gateway_presence_tests.py
+++ b/lagoonlever/tests/gateway_presence_tests.py
@@ -301,7 +301,7 @@
         for number in range(2 * len(PLACES))
     ]
     for vm in fleet.vms.values():
-        vm.beliefs.targets.read(listed, revision=at(1), now=0.0, store_back_at=None)
+        vm.beliefs.targets.apply_list(listed, revision=at(1), now=0.0, store_back_at=None)
 
 
 def test_a_lost_engine_is_told_at_once_to_those_with_streams_beside_it() -> None:
@@ -404,7 +404,7 @@
         quiet = await digest_bytes_in(fleet, 3.0)
         for _ in range(5):
             for vm in fleet.vms.values():
-                vm.beliefs.targets.seen_up_to(at(vm.beliefs.targets.as_of.number + 1))
+                vm.beliefs.targets.advance_to(at(vm.beliefs.targets.as_of.number + 1))
             await trio.sleep(0.1)
         busy = await digest_bytes_in(fleet, 3.0)
         assert busy < 1.25 * quiet, (quiet, busy)
--- a/lagoonlever/tests/limit_permits_tests.py
+++ b/lagoonlever/tests/limit_permits_tests.py
@@ -31,7 +31,7 @@
     """Request permits a thousand times a second; return how many were granted."""
     count = 0
     for turn in range(int(seconds * 1000)):
-        outcome = book.ask("t", per_s=per_s, need=need, now=turn / 1000)
+        outcome = book.acquire("t", per_s=per_s, need=need, now=turn / 1000)
         count += isinstance(outcome, Granted)
     return count
 
--- a/lagoonlever/tests/limits_fleet_tests.py
+++ b/lagoonlever/tests/limits_fleet_tests.py
@@ -104,7 +104,7 @@
     """Give a VM its part in keeping to limits."""
     name, named, roles = vm.state.life.name, ReportedLimits(), vm.presence.roles
     change = TargetChange(id="t", target=TARGET, revision=Revision(number=1))
-    vm.beliefs.targets.change(change, now=0.0, store_back_at=None)
+    vm.beliefs.targets.apply_change(change, now=0.0, store_back_at=None)
     permits = PermitExchange(
         bus=vm.bus,
         beliefs=vm.beliefs,
@@ -139,7 +139,7 @@
         limits = limit_vm(vm).limits
         entry = attrs.evolve(TARGET, started_ms=100)
         change = TargetChange(id="t", target=entry, revision=Revision(number=2))
-        vm.beliefs.targets.change(change, now=0.0, store_back_at=None)
+        vm.beliefs.targets.apply_change(change, now=0.0, store_back_at=None)
         told = WordTold(target="t", per_s=PER_S, age_s=0.0, started_ms=told_ms)
         assert limits._permits.learn(told) == counts
 
--- a/lagoonlever/tests/load_words_tests.py
+++ b/lagoonlever/tests/load_words_tests.py
@@ -32,7 +32,7 @@
         assert (known.slots, known.source) == (6, LoadSource.ANSWER)
         assert known.running + known.waiting == 4, "the request that was answered is over"
         assert known.slowness > 1.0
-        assert beliefs_of(site).loads.tells_slowness("runner-0")
+        assert beliefs_of(site).loads.reports_slowness("runner-0")
 
     run_site(story, engines=0, runners=1, vms=1)
 
@@ -59,7 +59,7 @@
             await until_within(5.0, lambda: loads.open_requests("engine-0") == 1)
         assert loads.open_requests("engine-0") == 0
         assert estimate(site, "engine-0").running == 0
-        assert loads.tells_slowness("engine-0")
+        assert loads.reports_slowness("engine-0")
 
     run_site(story, engines=1, runners=0, vms=1)
 
@@ -68,7 +68,7 @@
     async def story(site: GatewaySite) -> None:
         site.runners["runner-0"].says.load = "3,2,6"
         assert (await site.call("/bid/1")).status == 200
-        assert not beliefs_of(site).loads.tells_slowness("runner-0")
+        assert not beliefs_of(site).loads.reports_slowness("runner-0")
         assert estimate(site, "runner-0").slowness == 1.0
 
     run_site(story, engines=0, runners=1, vms=1)
@@ -79,10 +79,10 @@
         site.engines["engine-0"].says.load = "9,9,16,250"
         assert (await site.stream("p")).whole
         loads = beliefs_of(site).loads
-        assert loads.word("engine-0") is not None
+        assert loads.latest_report("engine-0") is not None
         site.crash("engine-0")
         await site.start_engine("engine-0")
-        await until_within(3.0, lambda: loads.word("engine-0") is None)
+        await until_within(3.0, lambda: loads.latest_report("engine-0") is None)
 
     run_site(story, engines=1, runners=0, vms=1)
 
@@ -93,10 +93,10 @@
         site.engines["engine-0"].says.load = "4,1,16,250"
         assert (await site.stream("p")).whole
         views = [beliefs_of(site, vm).loads for vm in site.vms]
-        await until_within(2.0, lambda: all(view.word("engine-0") for view in views))
+        await until_within(2.0, lambda: all(view.latest_report("engine-0") for view in views))
         sources = {estimate(site, "engine-0", vm).source for vm in site.vms}
         assert sources == {LoadSource.ANSWER, LoadSource.NEWS}
-        assert all(view.tells_slowness("engine-0") for view in views)
+        assert all(view.reports_slowness("engine-0") for view in views)
 
     run_site(story, engines=1, runners=0, vms=2)
 
--- a/lagoonlever/tests/rollouts_tests.py
+++ b/lagoonlever/tests/rollouts_tests.py
@@ -329,10 +329,10 @@
             site.crash(name)
             site.unlist_target(name)
         await until_within(3.0, lambda: told(SERVICE_SHUT_OUT))
-        assert targets.shut_out("apps") == 2
+        assert targets.count_blocked_by_version("apps") == 2
         order(site, duration_s=13.0)
         await until_within(3.0, lambda: told(SERVICE_SERVED_AGAIN))
-        assert targets.shut_out("apps") == 0
+        assert targets.count_blocked_by_version("apps") == 0
 
     with logs.applicationbound():
         run_site(story, engines=0, runners=2, vms=2)
--- a/lagoonlever/tests/target_fleet.py
+++ b/lagoonlever/tests/target_fleet.py
@@ -159,18 +159,18 @@
             for target in listed:
                 if target.leaving:
                     self.first_read_leaving.setdefault((target.name, target.address), self.now)
-            self.send(vm, vm.knowledge.read(Reading(targets=listed, read_at=self.now)))
+            self.send(vm, vm.knowledge.on_list_read(Reading(targets=listed, read_at=self.now)))
         if self.steps % ASK_EVERY_STEPS == 0:
             self.send(vm, vm.knowledge.tick(self.now))
 
     def deliver(self, vm: Vm, message: object) -> None:
         match message:
             case TargetLeavingUpdate():
-                self.send(vm, vm.knowledge.heard(message, self.now))
+                self.send(vm, vm.knowledge.on_leaving_update(message, self.now))
             case TargetListQuery():
-                self.send(vm, vm.knowledge.asked(message, self.now))
+                self.send(vm, vm.knowledge.on_list_query(message, self.now))
             case TargetListAnswer():
-                self.send(vm, vm.knowledge.answered(message, self.now))
+                self.send(vm, vm.knowledge.on_list_answer(message, self.now))
 
     def send(self, vm: Vm, sends: list[Send]) -> None:
         if not self.sends_updates:
--- a/lagoonlever/tests/target_registry_tests.py
+++ b/lagoonlever/tests/target_registry_tests.py
@@ -176,7 +176,7 @@
     assert listed.process_start("e1") == 100
     change(listed, "e1", started("e1", 200), revision=at(12), now=2.0, store_back_at=None)
     found = listed.find("e1")
-    assert found is not None and found.has_started_again(100)
+    assert found is not None and found.has_restarted_since(100)
 
 
 def test_an_entry_of_before_does_not_bring_a_former_process_back() -> None:
@@ -207,7 +207,7 @@
 def restore_store(listed: TargetRegistry, started_ms: int, *, number: int = 10) -> None:
     """Apply the list of a restored store, with an entry whose revision has a given number."""
     entry = attrs.evolve(started("e1", started_ms), revision=of_era(2, number))
-    listed.read([entry], revision=of_era(2, 40), now=5.0, store_back_at=5.0)
+    listed.apply_list([entry], revision=of_era(2, 40), now=5.0, store_back_at=5.0)
 
 
 @pytest.mark.parametrize("leaves_by", ["its own word", "its entry"])
@@ -284,7 +284,7 @@
     listed = registry("e1")
     change(listed, "e1", started("e1", 100), revision=at(11), now=1.0, store_back_at=None)
     found = listed.find("e1")
-    assert found is not None and not found.has_started_again(None)
+    assert found is not None and not found.has_restarted_since(None)
     assert not listed.record_restart("e1", 100)
 
 
--- a/lagoonlever/tests/target_watch_tests.py
+++ b/lagoonlever/tests/target_watch_tests.py
@@ -79,7 +79,7 @@
             vm.platform, vm.paused, vm.lag_steps = True, False, 0
         self.fleet.run(int((HOLD_S + 5.0) / STEP_S))
         for vm in self.fleet.vms:
-            assert vm.knowledge.belief(self.fleet.now) is ListStatus.FRESH
+            assert vm.knowledge.list_status(self.fleet.now) is ListStatus.FRESH
             for target in self.fleet.current():
                 may = vm.knowledge.may_dispatch(target.name, target.address, self.fleet.now)
                 assert may is not target.leaving
@@ -212,5 +212,5 @@
         vm.platform = False
     fleet.run(600)
     for vm in fleet.vms:
-        assert vm.knowledge.belief(fleet.now) is ListStatus.PLATFORM_OUTAGE
+        assert vm.knowledge.list_status(fleet.now) is ListStatus.PLATFORM_OUTAGE
         assert vm.knowledge.may_dispatch(NAMES[0], target_address(0, 0), fleet.now)
