--- a/lagoonlever/decisions/targets/leave_announcements.py
+++ b/lagoonlever/decisions/targets/leave_announcements.py
@@ -73,7 +73,7 @@
         if known is None:
             return
         start = former_start if known.started_ms is None else known.started_ms
-        is_new = entry.has_restarted_since(former_start) and entry.has_started_again(start)
+        is_new = entry.has_restarted_since(former_start) and entry.has_restarted_since(start)
         if is_new or entry.is_later_than(start):
             del self._announcements[entry.id]
 
