--- a/lagoonlever/bench/target_list.py
+++ b/lagoonlever/bench/target_list.py
@@ -18,9 +18,9 @@
 from lagoonlever.decisions.targets.watch import (
     Send,
     TargetKnowledge,
-    TargetLeavingUpdate,
+    TargetLeavingNews,
     TargetListAnswer,
-    TargetListQuery,
+    TargetListAsk,
 )
 from lagoonlever.entry.targets.targets import ASK_PERIOD_S
 from lagoonlever.http.messages import Address
@@ -208,9 +208,9 @@
 
     def _deliver(self, knowledge: TargetKnowledge, message: object) -> list[Send]:
         match message:
-            case TargetLeavingUpdate():
+            case TargetLeavingNews():
                 return knowledge.on_leaving_update(message, self.now)
-            case TargetListQuery():
+            case TargetListAsk():
                 return knowledge.on_list_query(message, self.now)
             case TargetListAnswer():
                 return knowledge.on_list_answer(message, self.now)
--- a/lagoonlever/decisions/targets/watch.py
+++ b/lagoonlever/decisions/targets/watch.py
@@ -30,14 +30,14 @@
 
 
 @attrs.frozen(kw_only=True)
-class TargetLeavingUpdate:
+class TargetLeavingNews:
     """Targets that were read as leaving; a VM to which any is new passes it on at once."""
 
     evidence: tuple[LeavingEvidence, ...]
 
 
 @attrs.frozen(kw_only=True)
-class TargetListQuery:
+class TargetListAsk:
     """A query for the age of the receiver's list; the answer has the same ``number``."""
 
     number: int
@@ -58,7 +58,7 @@
     """A message to send to a peer; it may be lost."""
 
     to: Address
-    message: TargetLeavingUpdate | TargetListQuery | TargetListAnswer
+    message: TargetLeavingNews | TargetListAsk | TargetListAnswer
 
 
 @attrs.define(kw_only=True)
@@ -105,11 +105,11 @@
         self._freshness.record_reading(reading.read_at)
         return self._update_peers(self._listing.apply_list(reading))
 
-    def on_leaving_update(self, update: TargetLeavingUpdate, now: float) -> list[Send]:
+    def on_leaving_update(self, update: TargetLeavingNews, now: float) -> list[Send]:
         """Apply a peer's update; return the messages that pass on what was new."""
         return self._apply_evidence(update.evidence, now)
 
-    def on_list_query(self, query: TargetListQuery, now: float) -> list[Send]:
+    def on_list_query(self, query: TargetListAsk, now: float) -> list[Send]:
         """Return the answer to a peer's query."""
         answer = TargetListAnswer(
             number=query.number,
@@ -131,7 +131,7 @@
     def tick(self, now: float) -> list[Send]:
         """Return the queries for the list's age that are due now."""
         return [
-            Send(to=peer, message=TargetListQuery(number=number, reply_to=self._own))
+            Send(to=peer, message=TargetListAsk(number=number, reply_to=self._own))
             for number, peer in self._freshness.due_queries(now, self._rng)
         ]
 
@@ -144,7 +144,7 @@
             return []
         members = self._members
         peers = [m.peers for m in members.reachable if m.incarnation != members.own]
-        message = TargetLeavingUpdate(evidence=evidence)
+        message = TargetLeavingNews(evidence=evidence)
         chosen = self._rng.sample(peers, min(UPDATE_FANOUT, len(peers)))
         return [Send(to=peer, message=message) for peer in chosen]
 
--- a/lagoonlever/entry/targets/targets.py
+++ b/lagoonlever/entry/targets/targets.py
@@ -29,9 +29,9 @@
 from lagoonlever.events import event
 from lagoonlever.peers.interface import Bus
 from lagoonlever.peers.messages_targets import (
-    TargetLeavingUpdate,
+    TargetLeavingNews,
     TargetListAnswer,
-    TargetListQuery,
+    TargetListAsk,
 )
 from lagoonlever.published import Published
 from lagoonlever.timers import Tick, TimerService
@@ -202,11 +202,11 @@
             members = await self._members.wait_change()
 
     async def _hear_news(self) -> None:
-        async for received in self._bus.subscribe(TargetLeavingUpdate):
+        async for received in self._bus.subscribe(TargetLeavingNews):
             self._take(self._knowledge.on_leaving_update(received.message, self._timers.now))
 
     async def _answer_asks(self) -> None:
-        async for received in self._bus.subscribe(TargetListQuery):
+        async for received in self._bus.subscribe(TargetListAsk):
             self._send(self._knowledge.on_list_query(received.message, self._timers.now))
 
     async def _hear_answers(self) -> None:
--- a/lagoonlever/peers/messages_targets.py
+++ b/lagoonlever/peers/messages_targets.py
@@ -3,14 +3,14 @@
 from __future__ import annotations
 
 from lagoonlever.decisions.targets.watch import (
-    TargetLeavingUpdate,
+    TargetLeavingNews,
     TargetListAnswer,
-    TargetListQuery,
+    TargetListAsk,
 )
 from lagoonlever.peers.messages import PEER
 
-PEER.message("target-leaving")(TargetLeavingUpdate)
-PEER.message("target-list-ask")(TargetListQuery)
+PEER.message("target-leaving")(TargetLeavingNews)
+PEER.message("target-list-ask")(TargetListAsk)
 PEER.message("target-list-answer")(TargetListAnswer)
 
-__all__ = ("TargetLeavingUpdate", "TargetListAnswer", "TargetListQuery")
+__all__ = ("TargetLeavingNews", "TargetListAnswer", "TargetListAsk")
--- a/lagoonlever/tests/target_fleet.py
+++ b/lagoonlever/tests/target_fleet.py
@@ -17,9 +17,9 @@
 from lagoonlever.decisions.targets.watch import (
     Send,
     TargetKnowledge,
-    TargetLeavingUpdate,
+    TargetLeavingNews,
     TargetListAnswer,
-    TargetListQuery,
+    TargetListAsk,
 )
 from lagoonlever.history.checkers.leaving_target import GRACE_S
 from lagoonlever.history.events import HistoryEvent
@@ -165,9 +165,9 @@
 
     def deliver(self, vm: Vm, message: object) -> None:
         match message:
-            case TargetLeavingUpdate():
+            case TargetLeavingNews():
                 self.send(vm, vm.knowledge.on_leaving_update(message, self.now))
-            case TargetListQuery():
+            case TargetListAsk():
                 self.send(vm, vm.knowledge.on_list_query(message, self.now))
             case TargetListAnswer():
                 self.send(vm, vm.knowledge.on_list_answer(message, self.now))
