--- a/lagoonlever/bench/local_fleet.py
+++ b/lagoonlever/bench/local_fleet.py
@@ -9,7 +9,7 @@
 import trio
 import trio.testing
 
-from lagoonlever.decisions.engines.engine_book import EngineBook
+from lagoonlever.decisions.engines.engine_book import EngineScheduler
 from lagoonlever.decisions.fleet.fellows import FellowState, FellowTable
 from lagoonlever.gateway.beliefs import Beliefs
 from lagoonlever.gateway.daemon import LONGEST_WAIT_S
@@ -86,7 +86,7 @@
             link_mbps=WIDE_MBPS if wide else NARROW_MBPS,
         )
         rng = random.Random(number)
-        book = EngineBook(rng=rng, data_center=state.data_center)
+        book = EngineScheduler(rng=rng, data_center=state.data_center)
         beliefs = Beliefs(fellows=FellowTable(own=life), book=book)
         bus = LocalBus(own=life, address=address, network=self.network)
         timers = TimerService(tick_s=LONGEST_WAIT_S)
--- a/lagoonlever/bench/stream_day_model.py
+++ b/lagoonlever/bench/stream_day_model.py
@@ -25,7 +25,7 @@
     ModelStream,
 )
 from lagoonlever.decisions.admission.prompt_admission import admits, come_back_s, most_share
-from lagoonlever.decisions.engines.engine_book import EngineBook
+from lagoonlever.decisions.engines.engine_book import EngineScheduler
 from lagoonlever.decisions.settings.configuration import EngineLimits
 from lagoonlever.decisions.streams.booked_runs import BookedRun, RunCopy
 from lagoonlever.decisions.streams.life import GiveUp, Place, ResumeFrom, StreamLife, WaitForEngine
@@ -53,7 +53,7 @@
     _policy: DayPolicy
     _seed: int
     _rng: random.Random = attrs.field(init=False)
-    _book: EngineBook = attrs.field(init=False)
+    _book: EngineScheduler = attrs.field(init=False)
     _limits: EngineLimits = attrs.field(init=False)
     _engines: dict[str, ModelEngine] = attrs.field(factory=dict)
     _listed: dict[str, ListedTarget] = attrs.field(factory=dict)
@@ -69,8 +69,8 @@
         return random.Random(self._seed)
 
     @_book.default
-    def _make_book(self) -> EngineBook:
-        return EngineBook(
+    def _make_book(self) -> EngineScheduler:
+        return EngineScheduler(
             rng=random.Random(self._seed + 1),
             data_center=DATA_CENTERS[0],
             copies_most=self._policy.copies_most,
--- a/lagoonlever/decisions/engines/engine_book.py
+++ b/lagoonlever/decisions/engines/engine_book.py
@@ -79,7 +79,7 @@
 
 
 @attrs.define(kw_only=True)
-class EngineBook:
+class EngineScheduler:
     """The known runs by request; times are seconds of the monotonic clock."""
 
     _rng: random.Random
--- a/lagoonlever/gateway/beliefs.py
+++ b/lagoonlever/gateway/beliefs.py
@@ -5,7 +5,7 @@
 import attrs
 import trio
 
-from lagoonlever.decisions.engines.engine_book import EngineBook
+from lagoonlever.decisions.engines.engine_book import EngineScheduler
 from lagoonlever.decisions.fleet.fellows import FellowTable
 from lagoonlever.decisions.settings.configuration import Configuration, EngineLimits
 from lagoonlever.decisions.targets.load_view import TargetLoads
@@ -21,7 +21,7 @@
     """Changed by the parts that follow the store and the peers; everyone else only reads."""
 
     fellows: FellowTable
-    book: EngineBook
+    book: EngineScheduler
     configuration: Published[Configuration | None] = attrs.field(
         factory=lambda: Published[Configuration | None](None)
     )
--- a/lagoonlever/gateway/parts.py
+++ b/lagoonlever/gateway/parts.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from lagoonlever.decisions.engines.engine_book import EngineBook
+from lagoonlever.decisions.engines.engine_book import EngineScheduler
 from lagoonlever.decisions.fleet.fellows import FellowState, FellowTable
 from lagoonlever.decisions.settings.configuration import ClientLimits
 from lagoonlever.decisions.targets.named_limits import NamedLimits
@@ -115,7 +115,7 @@
     def _make_beliefs(self) -> Beliefs:
         return Beliefs(
             fellows=FellowTable(own=self.life),
-            book=EngineBook(
+            book=EngineScheduler(
                 rng=self.rng,
                 data_center=self.settings.data_center,
                 keep_s=self.settings.bounds.cache_s,
--- a/lagoonlever/tests/copy_room_tests.py
+++ b/lagoonlever/tests/copy_room_tests.py
@@ -9,7 +9,7 @@
 
 from lagoonlever.decisions.engines.copy_room import RISK, WHOLE, copies_most, risk_of_loss
 from lagoonlever.decisions.engines.engine_avoidance import LOSSES_WINDOW_S, EngineAvoidance
-from lagoonlever.decisions.engines.engine_book import COPIES_MOST, EngineBook
+from lagoonlever.decisions.engines.engine_book import COPIES_MOST, EngineScheduler
 from lagoonlever.decisions.settings.configuration import EngineLimits
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS
 from lagoonlever.decisions.streams.booked_runs import BookedRun
@@ -31,9 +31,9 @@
     ]
 
 
-def nearly_full(listed: list[ListedTarget]) -> EngineBook:
+def nearly_full(listed: list[ListedTarget]) -> EngineScheduler:
     """Give a book by which each engine has seven runs: one more fits, and leaves little."""
-    book = EngineBook(rng=random.Random(1), data_center="a")
+    book = EngineScheduler(rng=random.Random(1), data_center="a")
     for number, engine in enumerate(listed * 7):
         run = BookedRun(
             request=f"r{number}",
@@ -47,7 +47,7 @@
     return book
 
 
-def holder(book: EngineBook, listed: list[ListedTarget], *, by_losses: bool) -> object:
+def holder(book: EngineScheduler, listed: list[ListedTarget], *, by_losses: bool) -> object:
     return book.place_copy(
         listed,
         limits=LIMITS,
@@ -58,7 +58,7 @@
     )
 
 
-def crash(book: EngineBook, listed: list[ListedTarget], data_center: str) -> None:
+def crash(book: EngineScheduler, listed: list[ListedTarget], data_center: str) -> None:
     for engine in listed:
         if engine.data_center == data_center:
             book.avoidance.failed(engine.id, 0.0)
--- a/lagoonlever/tests/engine_book_tests.py
+++ b/lagoonlever/tests/engine_book_tests.py
@@ -9,7 +9,7 @@
 from lagoonlever.decisions.engines.engine_avoidance import FIRST_AVOID_S
 from lagoonlever.decisions.engines.engine_book import (
     BookedRun,
-    EngineBook,
+    EngineScheduler,
     RunCopy,
 )
 from lagoonlever.decisions.engines.engine_paces import PRIOR_PROMPT_TOKEN_S
@@ -30,8 +30,8 @@
 ENGINES = [engine("e1", "a"), engine("e2", "b"), engine("e3", "c")]
 
 
-def book(seed: int = 1, data_center: str = "a") -> EngineBook:
-    return EngineBook(rng=random.Random(seed), data_center=data_center)
+def book(seed: int = 1, data_center: str = "a") -> EngineScheduler:
+    return EngineScheduler(rng=random.Random(seed), data_center=data_center)
 
 
 def run(request: str, at: str, **more: object) -> BookedRun:
@@ -41,7 +41,7 @@
     return attrs.evolve(made, **more)
 
 
-def placed(on: EngineBook, now: float = 0.0, **more: object) -> str:
+def placed(on: EngineScheduler, now: float = 0.0, **more: object) -> str:
     placement = on.place(
         ENGINES, limits=LIMITS, prompt_tokens=PROMPT, memory_tokens=MEMORY, now=now, **more
     )
--- a/lagoonlever/tests/engine_paces_tests.py
+++ b/lagoonlever/tests/engine_paces_tests.py
@@ -7,7 +7,7 @@
 import attrs
 import pytest
 
-from lagoonlever.decisions.engines.engine_book import EngineBook
+from lagoonlever.decisions.engines.engine_book import EngineScheduler
 from lagoonlever.decisions.engines.engine_paces import PRIOR_PROMPT_TOKEN_S, EnginePaces
 from lagoonlever.decisions.streams.booked_runs import BookedRun
 from lagoonlever.decisions.streams.time import least_time_s
@@ -110,8 +110,8 @@
     )
 
 
-def book() -> EngineBook:
-    return EngineBook(rng=random.Random(1), data_center="a")
+def book() -> EngineScheduler:
+    return EngineScheduler(rng=random.Random(1), data_center="a")
 
 
 def test_a_book_learns_from_the_runs_of_all_vms() -> None:
--- a/lagoonlever/tests/run_placement_tests.py
+++ b/lagoonlever/tests/run_placement_tests.py
@@ -8,7 +8,7 @@
 
 from lagoonlever.decisions.admission.prompt_admission import LEAST_PROMPTS
 from lagoonlever.decisions.admission.retry_window import RetryWindow
-from lagoonlever.decisions.engines.engine_book import EngineBook
+from lagoonlever.decisions.engines.engine_book import EngineScheduler
 from lagoonlever.decisions.settings.configuration import EngineLimits
 from lagoonlever.decisions.streams.booked_runs import BookedRun
 from lagoonlever.decisions.streams.run_placement import (
@@ -46,7 +46,7 @@
     listed = listed or (engine("e1", "a"), engine("e2", "b"), engine("e3", "c"))
     targets.read(listed, revision=at(1), now=0.0, store_back_at=None)
     return PlacementView(
-        book=EngineBook(rng=random.Random(1), data_center="a"),
+        book=EngineScheduler(rng=random.Random(1), data_center="a"),
         window=RetryWindow(ratio=0.8, window_s=10.0, slack=5.0),
         targets=targets,
         limits=LIMITS,
--- a/lagoonlever/tests/uneven_engines_tests.py
+++ b/lagoonlever/tests/uneven_engines_tests.py
@@ -13,7 +13,7 @@
 import attrs
 import pytest
 
-from lagoonlever.decisions.engines.engine_book import EngineBook
+from lagoonlever.decisions.engines.engine_book import EngineScheduler
 from lagoonlever.decisions.engines.uneven_engines import UnevenEngines
 from lagoonlever.decisions.settings.configuration import EngineLimits
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS
@@ -51,7 +51,7 @@
     _read_until: dict[str, float] = attrs.field(factory=dict)
     _rng: random.Random = attrs.field(init=False)
     _paces: dict[str, float] = attrs.field(init=False)
-    _books: list[EngineBook] = attrs.field(init=False)
+    _books: list[EngineScheduler] = attrs.field(init=False)
     _engines: list[ListedTarget] = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
@@ -64,7 +64,7 @@
         slow = self._rng.sample(self._engines, round(SLOW_PART * ENGINES))
         self._paces = {e.id: SLOW if e in slow else FAST for e in self._engines}
         self._books = [
-            EngineBook(rng=random.Random(n), data_center=f"d{n % 3}", loads=TargetLoads())
+            EngineScheduler(rng=random.Random(n), data_center=f"d{n % 3}", loads=TargetLoads())
             for n in range(VMS)
         ]
 
@@ -87,7 +87,7 @@
         moment = random.Random(f"{self.seed} {engine} {int(at / MOMENT_S)}")
         return MOMENT_SLOWNESS if moment.random() < MOMENT_PART else 1.0
 
-    def _tell(self, vm: int, change: Callable[[EngineBook], None]) -> None:
+    def _tell(self, vm: int, change: Callable[[EngineScheduler], None]) -> None:
         change(self._books[vm])
         others = [book for number, book in enumerate(self._books) if number != vm]
         self._plan(self._now + NEWS_S, lambda: [change(book) for book in others] and None)
@@ -133,7 +133,7 @@
         load = ToldLoad(running=1.0, waiting=0.0, slots=16.0, slowness=slowness)
         word = LoadWord(target=run.engine, load=load, at=self._now)
 
-        def heard(book: EngineBook) -> None:
+        def heard(book: EngineScheduler) -> None:
             book.flows(run.request, self._now)
             book.loads.passed_on(word)
 
@@ -143,7 +143,7 @@
         self._plan(done_at, lambda: self._end(vm, run, token_s))
 
     def _end(self, vm: int, run: BookedRun, token_s: float) -> None:
-        def heard(book: EngineBook) -> None:
+        def heard(book: EngineScheduler) -> None:
             book.end(run.request, self._now, whole=True, token_s=token_s, tokens=TOKENS)
 
         self._tell(vm, heard)
@@ -184,21 +184,21 @@
     assert Day(seed=1, tells=True).play() == Day(seed=1, tells=False).play()
 
 
-def told_book(*, seed: int = 1, **slowness: float) -> EngineBook:
+def told_book(*, seed: int = 1, **slowness: float) -> EngineScheduler:
     """Give a book that has heard of engines at 0 s, each so slow then, and of their paces."""
-    made = EngineBook(rng=random.Random(seed), data_center="a")
+    made = EngineScheduler(rng=random.Random(seed), data_center="a")
     for engine, times in slowness.items():
         load = ToldLoad(running=0.0, waiting=0.0, slots=16.0, slowness=times)
         made.loads.passed_on(LoadWord(target=engine, load=load, at=0.0))
     return made
 
 
-def shows(book: EngineBook, engine: str, pace: float, *, times: int = 5) -> None:
+def shows(book: EngineScheduler, engine: str, pace: float, *, times: int = 5) -> None:
     for _ in range(times):
         book.paces.read("engines", engine, tokens=PROMPT, seconds=READING_S * pace, now=0.0)
 
 
-def chosen(book: EngineBook, now: float) -> str:
+def chosen(book: EngineScheduler, now: float) -> str:
     placement = book.place(
         THREE, limits=LIMITS, prompt_tokens=PROMPT, memory_tokens=MEMORY, now=now
     )
