--- a/lagoonlever/bench/stream_day.py
+++ b/lagoonlever/bench/stream_day.py
@@ -17,7 +17,7 @@
 from lagoonlever.bench.statistics import quantile
 from lagoonlever.bench.stream_day_model import StreamDay
 from lagoonlever.bench.stream_day_types import DayFigures, DayPlan, DayPolicy
-from lagoonlever.decisions.engines.engine_book import COPIES_MOST
+from lagoonlever.decisions.engines.engine_book import MAX_COPIES_SHARE
 
 DAYS = 24
 QUICK_DAYS = 3
@@ -26,7 +26,7 @@
     DayPolicy(name="copies wherever there is room", copies_most=1.0),
     DayPolicy(name="copies up to 0.6 of an engine", copies_most=0.6),
     DayPolicy(name="every prompt admitted", admission=False),
-    DayPolicy(name=f"**copies up to {COPIES_MOST:g} of an engine**"),
+    DayPolicy(name=f"**copies up to {MAX_COPIES_SHARE:g} of an engine**"),
 )
 PLANS: dict[str, Callable[[int], DayPlan]] = {
     "twelve engines, one data centre's crash every 6.5 s": lambda _: DayPlan(),
--- a/lagoonlever/bench/stream_day_types.py
+++ b/lagoonlever/bench/stream_day_types.py
@@ -6,7 +6,7 @@
 
 from lagoonlever.bench.engine_model import EngineFigures, ModelEngine, ModelRun
 from lagoonlever.config.options import option
-from lagoonlever.decisions.engines.engine_book import COPIES_MOST
+from lagoonlever.decisions.engines.engine_book import MAX_COPIES_SHARE
 from lagoonlever.decisions.streams.booked_runs import RunCopy
 from lagoonlever.decisions.streams.life import StreamLife
 
@@ -48,7 +48,7 @@
 
     name: str
     copies: bool = True
-    copies_most: float = COPIES_MOST
+    copies_most: float = MAX_COPIES_SHARE
     admission: bool = True
     """Prompts are refused while engines read so much that answers can't end in time."""
 
--- a/lagoonlever/decisions/engines/engine_book.py
+++ b/lagoonlever/decisions/engines/engine_book.py
@@ -43,7 +43,7 @@
 Two VMs that resume at the same moment would both take the idlest engine, and each
 prompt then waits for the other.
 """
-COPIES_MOST = 0.8
+MAX_COPIES_SHARE = 0.8
 """How full an engine may get by taking a copy.
 
 An engine that is full of runs and copies preempts its newest run, whose prompt is then
@@ -90,7 +90,7 @@
 
     Placements that are closer are ordered by request, alike on every VM.
     """
-    _copies_most: float = COPIES_MOST
+    _copies_most: float = MAX_COPIES_SHARE
     _keep_s: float = 10.0
     """How long an ended run is remembered: as long as its prompt may still be cached."""
     _records: RunRecords = attrs.field(init=False)
--- a/lagoonlever/tests/copy_room_tests.py
+++ b/lagoonlever/tests/copy_room_tests.py
@@ -9,7 +9,7 @@
 
 from lagoonlever.decisions.engines.copy_room import RISK, WHOLE, copies_most, risk_of_loss
 from lagoonlever.decisions.engines.engine_avoidance import LOSSES_WINDOW_S, EngineAvoidance
-from lagoonlever.decisions.engines.engine_book import COPIES_MOST, EngineScheduler
+from lagoonlever.decisions.engines.engine_book import MAX_COPIES_SHARE, EngineScheduler
 from lagoonlever.decisions.settings.configuration import EngineLimits
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS
 from lagoonlever.decisions.streams.booked_runs import BookedRun
@@ -87,11 +87,13 @@
     assert holder(book, listed, by_losses=False) is None
 
 
-@pytest.mark.parametrize(("losses", "most"), [(0, COPIES_MOST), (1, COPIES_MOST), (11, WHOLE)])
+@pytest.mark.parametrize(
+    ("losses", "most"), [(0, MAX_COPIES_SHARE), (1, MAX_COPIES_SHARE), (11, WHOLE)]
+)
 def test_one_lost_engine_is_no_crash_of_a_data_centre(losses: int, most: float) -> None:
     """Guards against a single faulty engine that changes the room of all."""
     risk = risk_of_loss(losses, engines=45, window_s=LOSSES_WINDOW_S, run_s=6.0)
-    assert copies_most(risk, usual=COPIES_MOST) == most
+    assert copies_most(risk, usual=MAX_COPIES_SHARE) == most
 
 
 def test_losses_are_forgotten_after_their_window() -> None:
@@ -110,6 +112,6 @@
 def test_without_the_mechanism_the_room_is_fixed() -> None:
     MECHANISMS.switch_off(["copies-by-risk"])
     try:
-        assert copies_most(2 * RISK, usual=COPIES_MOST) == COPIES_MOST
+        assert copies_most(2 * RISK, usual=MAX_COPIES_SHARE) == MAX_COPIES_SHARE
     finally:
         MECHANISMS.switch_off(())
