--- a/lagoonlever/bench/local_fleet.py
+++ b/lagoonlever/bench/local_fleet.py
@@ -9,7 +9,7 @@
 import trio
 import trio.testing
 
-from lagoonlever.decisions.engines.engine_book import EngineScheduler
+from lagoonlever.decisions.engines.engine_scheduler import EngineScheduler
 from lagoonlever.decisions.fleet.fellows import FellowState, FellowTable
 from lagoonlever.gateway.beliefs import Beliefs
 from lagoonlever.gateway.daemon import LONGEST_WAIT_S
--- a/lagoonlever/bench/stream_day.py
+++ b/lagoonlever/bench/stream_day.py
@@ -17,7 +17,7 @@
 from lagoonlever.bench.statistics import quantile
 from lagoonlever.bench.stream_day_model import StreamDay
 from lagoonlever.bench.stream_day_types import DayFigures, DayPlan, DayPolicy
-from lagoonlever.decisions.engines.engine_book import MAX_COPIES_SHARE
+from lagoonlever.decisions.engines.engine_scheduler import MAX_COPIES_SHARE
 
 DAYS = 24
 QUICK_DAYS = 3
--- a/lagoonlever/bench/stream_day_model.py
+++ b/lagoonlever/bench/stream_day_model.py
@@ -25,7 +25,7 @@
     ModelStream,
 )
 from lagoonlever.decisions.admission.prompt_admission import admits, come_back_s, most_share
-from lagoonlever.decisions.engines.engine_book import EngineScheduler
+from lagoonlever.decisions.engines.engine_scheduler import EngineScheduler
 from lagoonlever.decisions.settings.configuration import EngineLimits
 from lagoonlever.decisions.streams.booked_runs import BookedRun, RunCopy
 from lagoonlever.decisions.streams.life import GiveUp, Place, ResumeFrom, StreamLife, WaitForEngine
--- a/lagoonlever/bench/stream_day_types.py
+++ b/lagoonlever/bench/stream_day_types.py
@@ -6,7 +6,7 @@
 
 from lagoonlever.bench.engine_model import EngineFigures, ModelEngine, ModelRun
 from lagoonlever.config.options import option
-from lagoonlever.decisions.engines.engine_book import MAX_COPIES_SHARE
+from lagoonlever.decisions.engines.engine_scheduler import MAX_COPIES_SHARE
 from lagoonlever.decisions.streams.booked_runs import RunCopy
 from lagoonlever.decisions.streams.life import StreamLife
 
--- a/lagoonlever/decisions/streams/run_placement.py
+++ b/lagoonlever/decisions/streams/run_placement.py
@@ -20,7 +20,7 @@
 from lagoonlever.decisions.admission.prompt_admission import admits, most_share
 from lagoonlever.decisions.admission.retry_window import RetryWindow
 from lagoonlever.decisions.admission.room_line import reading_rate
-from lagoonlever.decisions.engines.engine_book import EngineScheduler
+from lagoonlever.decisions.engines.engine_scheduler import EngineScheduler
 from lagoonlever.decisions.engines.uneven_engines import UnevenChoice
 from lagoonlever.decisions.settings.configuration import EngineLimits
 from lagoonlever.decisions.streams.booked_runs import BookedRun
--- a/lagoonlever/gateway/beliefs.py
+++ b/lagoonlever/gateway/beliefs.py
@@ -5,7 +5,7 @@
 import attrs
 import trio
 
-from lagoonlever.decisions.engines.engine_book import EngineScheduler
+from lagoonlever.decisions.engines.engine_scheduler import EngineScheduler
 from lagoonlever.decisions.fleet.fellows import FellowTable
 from lagoonlever.decisions.settings.configuration import Configuration, EngineLimits
 from lagoonlever.decisions.targets.load_view import TargetLoads
--- a/lagoonlever/gateway/parts.py
+++ b/lagoonlever/gateway/parts.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from lagoonlever.decisions.engines.engine_book import EngineScheduler
+from lagoonlever.decisions.engines.engine_scheduler import EngineScheduler
 from lagoonlever.decisions.fleet.fellows import FellowState, FellowTable
 from lagoonlever.decisions.settings.configuration import ClientLimits
 from lagoonlever.decisions.targets.named_limits import NamedLimits
--- a/lagoonlever/tests/copy_room_tests.py
+++ b/lagoonlever/tests/copy_room_tests.py
@@ -9,7 +9,7 @@
 
 from lagoonlever.decisions.engines.copy_room import RISK, WHOLE, copies_most, risk_of_loss
 from lagoonlever.decisions.engines.engine_avoidance import LOSSES_WINDOW_S, EngineAvoidance
-from lagoonlever.decisions.engines.engine_book import MAX_COPIES_SHARE, EngineScheduler
+from lagoonlever.decisions.engines.engine_scheduler import MAX_COPIES_SHARE, EngineScheduler
 from lagoonlever.decisions.settings.configuration import EngineLimits
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS
 from lagoonlever.decisions.streams.booked_runs import BookedRun
--- a/lagoonlever/tests/engine_book_tests.py
+++ b/lagoonlever/tests/engine_book_tests.py
@@ -7,7 +7,7 @@
 import attrs
 
 from lagoonlever.decisions.engines.engine_avoidance import FIRST_AVOID_S
-from lagoonlever.decisions.engines.engine_book import (
+from lagoonlever.decisions.engines.engine_scheduler import (
     BookedRun,
     EngineScheduler,
     RunCopy,
--- a/lagoonlever/tests/engine_paces_tests.py
+++ b/lagoonlever/tests/engine_paces_tests.py
@@ -7,7 +7,7 @@
 import attrs
 import pytest
 
-from lagoonlever.decisions.engines.engine_book import EngineScheduler
+from lagoonlever.decisions.engines.engine_scheduler import EngineScheduler
 from lagoonlever.decisions.engines.engine_paces import PRIOR_PROMPT_TOKEN_S, EnginePaces
 from lagoonlever.decisions.streams.booked_runs import BookedRun
 from lagoonlever.decisions.streams.time import least_time_s
--- a/lagoonlever/tests/run_placement_tests.py
+++ b/lagoonlever/tests/run_placement_tests.py
@@ -8,7 +8,7 @@
 
 from lagoonlever.decisions.admission.prompt_admission import LEAST_PROMPTS
 from lagoonlever.decisions.admission.retry_window import RetryWindow
-from lagoonlever.decisions.engines.engine_book import EngineScheduler
+from lagoonlever.decisions.engines.engine_scheduler import EngineScheduler
 from lagoonlever.decisions.settings.configuration import EngineLimits
 from lagoonlever.decisions.streams.booked_runs import BookedRun
 from lagoonlever.decisions.streams.run_placement import (
--- a/lagoonlever/tests/uneven_engines_tests.py
+++ b/lagoonlever/tests/uneven_engines_tests.py
@@ -13,7 +13,7 @@
 import attrs
 import pytest
 
-from lagoonlever.decisions.engines.engine_book import EngineScheduler
+from lagoonlever.decisions.engines.engine_scheduler import EngineScheduler
 from lagoonlever.decisions.engines.uneven_engines import UnevenEngines
 from lagoonlever.decisions.settings.configuration import EngineLimits
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS
