--- a/lagoonlever/decisions/engines/engine_paces.py
+++ b/lagoonlever/decisions/engines/engine_paces.py
@@ -91,7 +91,7 @@
 
 
 @attrs.define(kw_only=True)
-class EnginePaces:
+class EngineTimings:
     """Learnt figures by service and by engine; times are seconds of the monotonic clock."""
 
     _services: dict[str, _Learnt] = attrs.field(factory=dict)
--- a/lagoonlever/decisions/engines/engine_scheduler.py
+++ b/lagoonlever/decisions/engines/engine_scheduler.py
@@ -27,7 +27,7 @@
     OTHER_DATA_CENTER_S,
     EngineLoad,
 )
-from lagoonlever.decisions.engines.engine_paces import EnginePaces
+from lagoonlever.decisions.engines.engine_paces import EngineTimings
 from lagoonlever.decisions.engines.reading_window import ReadingWindow
 from lagoonlever.decisions.engines.uneven_engines import UnevenChoice, UnevenEngines
 from lagoonlever.decisions.settings.configuration import EngineLimits
@@ -98,7 +98,7 @@
     _read_at: dict[str, float] = attrs.field(factory=dict)
     """By engine: when it had last read a prompt."""
     avoidance: EngineAvoidance = attrs.field(factory=EngineAvoidance)
-    paces: EnginePaces = attrs.field(factory=EnginePaces)
+    paces: EngineTimings = attrs.field(factory=EngineTimings)
     loads: TargetLoads = attrs.field(factory=TargetLoads)
     """What targets have told of themselves."""
 
--- a/lagoonlever/decisions/engines/uneven_engines.py
+++ b/lagoonlever/decisions/engines/uneven_engines.py
@@ -11,7 +11,7 @@
 
 import attrs
 
-from lagoonlever.decisions.engines.engine_paces import EnginePaces
+from lagoonlever.decisions.engines.engine_paces import EngineTimings
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS, gives
 from lagoonlever.decisions.targets.load_estimate import LoadSource
 from lagoonlever.decisions.targets.load_view import MOMENT_S, TargetLoads
@@ -46,7 +46,7 @@
 class UnevenEngines:
     """What engines have shown and told; times are seconds of the monotonic clock."""
 
-    _paces: EnginePaces
+    _paces: EngineTimings
     _loads: TargetLoads
 
     def counts(self, engine: str) -> bool:
--- a/lagoonlever/tests/engine_paces_tests.py
+++ b/lagoonlever/tests/engine_paces_tests.py
@@ -8,7 +8,7 @@
 import pytest
 
 from lagoonlever.decisions.engines.engine_scheduler import EngineScheduler
-from lagoonlever.decisions.engines.engine_paces import PRIOR_PROMPT_TOKEN_S, EnginePaces
+from lagoonlever.decisions.engines.engine_paces import PRIOR_PROMPT_TOKEN_S, EngineTimings
 from lagoonlever.decisions.streams.booked_runs import BookedRun
 from lagoonlever.decisions.streams.time import least_time_s
 from lagoonlever.tests.engine_book_tests import ENGINES, LIMITS
@@ -17,9 +17,9 @@
 PROMPT, OUTPUT = 8_000, 1_000
 
 
-def seen(*, times: float, engines: int = 3, streams: int = 10) -> EnginePaces:
+def seen(*, times: float, engines: int = 3, streams: int = 10) -> EngineTimings:
     """Give what was learnt of engines that take so many times as long as some others."""
-    paces = EnginePaces()
+    paces = EngineTimings()
     for number in range(streams):
         now, engine = float(number), f"e{1 + number % engines}"
         paces.read(SERVICE, engine, tokens=PROMPT, seconds=times, now=now)
@@ -27,7 +27,7 @@
     return paces
 
 
-def needed_s(paces: EnginePaces, *, position: int = 0, cached: bool = False) -> float:
+def needed_s(paces: EngineTimings, *, position: int = 0, cached: bool = False) -> float:
     return least_time_s(
         pace=paces.fastest(SERVICE),
         prompt_tokens=PROMPT,
@@ -61,7 +61,7 @@
     Engines that read 16,000 tokens a second and make 480 are twice as fast as any served.
     """
     on_fast_engines_s = PROMPT / 16_000 + OUTPUT / 480
-    assert 0.8 * on_fast_engines_s < needed_s(EnginePaces()) < on_fast_engines_s
+    assert 0.8 * on_fast_engines_s < needed_s(EngineTimings()) < on_fast_engines_s
 
 
 def test_a_slow_engine_is_known_and_lesser_differences_are_not() -> None:
--- a/lagoonlever/tests/pace_keeper_tests.py
+++ b/lagoonlever/tests/pace_keeper_tests.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lagoonlever.decisions.engines.engine_paces import EnginePaces, KeptPace
+from lagoonlever.decisions.engines.engine_paces import EngineTimings, KeptPace
 from lagoonlever.fakes.metadata_store import StoreFault
 from lagoonlever.gateway import pace_keeper
 from lagoonlever.gateway.pace_keeper import PACES_KEY
@@ -27,7 +27,7 @@
 
 
 def test_what_was_kept_holds_until_streams_were_seen() -> None:
-    paces = EnginePaces()
+    paces = EngineTimings()
     paces.recall(SERVICE, KEPT, 0.0)
     assert paces.usual_reading_s(SERVICE) == 2.0
     assert paces.kept() == {SERVICE: KEPT}
@@ -51,10 +51,10 @@
     prompt_token_s: float, token_s: float, reading_s: float
 ) -> None:
     kept = KeptPace(prompt_token_s=prompt_token_s, token_s=token_s, reading_s=reading_s)
-    paces = EnginePaces()
+    paces = EngineTimings()
     paces.recall(SERVICE, kept, 0.0)
     assert 0.1 < paces.usual_reading_s(SERVICE) <= 8.0
-    assert needed_s(paces) < 8.0 * needed_s(EnginePaces()) + 1e-9
+    assert needed_s(paces) < 8.0 * needed_s(EngineTimings()) + 1e-9
 
 
 def test_after_a_loss_of_all_vms_a_hopeless_return_is_refused_by_what_was_known() -> None:
