--- a/lagoonlever/decisions/engines/engine_paces.py
+++ b/lagoonlever/decisions/engines/engine_paces.py
@@ -59,7 +59,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class KeptPace:
+class StoredTimings:
     """What is kept of a service's engines for VMs that start anew."""
 
     prompt_token_s: Positive
@@ -67,7 +67,7 @@
     reading_s: Positive
     """Of a usual prompt."""
 
-    def differs(self, other: KeptPace) -> bool:
+    def differs(self, other: StoredTimings) -> bool:
         """Tell whether another one tells something else, beyond what always varies."""
         pairs = zip(attrs.astuple(self), attrs.astuple(other), strict=True)
         return any(max(mine, its) > KEPT_APART * min(mine, its) for mine, its in pairs)
@@ -168,10 +168,10 @@
         )
         return relative or 1.0
 
-    def kept(self) -> dict[str, KeptPace]:
+    def kept(self) -> dict[str, StoredTimings]:
         """Give what was seen of each service, to be kept."""
         return {
-            service: KeptPace(
+            service: StoredTimings(
                 prompt_token_s=known.prompt_token_s.value,
                 token_s=known.token_s.value,
                 reading_s=self.usual_reading_s(service),
@@ -180,7 +180,7 @@
             if not known.prompt_token_s.is_prior and not known.token_s.is_prior
         }
 
-    def recall(self, service: str, kept: KeptPace, now: float) -> None:
+    def recall(self, service: str, kept: StoredTimings, now: float) -> None:
         """Take what was kept of a service, where nothing was seen yet.
 
         Counts as a first observation: held within a bound around the prior, as anybody may
--- a/lagoonlever/gateway/pace_keeper.py
+++ b/lagoonlever/gateway/pace_keeper.py
@@ -17,7 +17,7 @@
 import msgspec
 import trio
 
-from lagoonlever.decisions.engines.engine_paces import KeptPace
+from lagoonlever.decisions.engines.engine_paces import StoredTimings
 from lagoonlever.decisions.fleet.roles import Roles
 from lagoonlever.exceptions import PlatformError
 from lagoonlever.gateway import events
@@ -43,7 +43,7 @@
     _roles: Published[Roles | None]
     _timers: TimerService
     _rng: random.Random
-    _stored: dict[str, KeptPace] = attrs.field(factory=dict)
+    _stored: dict[str, StoredTimings] = attrs.field(factory=dict)
     _record: StoreRecord = attrs.field(init=False)
 
     @_record.default
@@ -97,7 +97,7 @@
             return
         self._take()
 
-    def _is_stored(self, service: str, pace: KeptPace) -> bool:
+    def _is_stored(self, service: str, pace: StoredTimings) -> bool:
         stored = self._stored.get(service)
         return stored is not None and not stored.differs(pace)
 
@@ -107,6 +107,6 @@
         if self._record.value is None:
             return
         try:
-            self._stored = msgspec.json.decode(self._record.value, type=dict[str, KeptPace])
+            self._stored = msgspec.json.decode(self._record.value, type=dict[str, StoredTimings])
         except (msgspec.MsgspecError, RecursionError) as error:
             events.PACES_UNREADABLE.log(log, error=str(error))
--- a/lagoonlever/gateway/placer.py
+++ b/lagoonlever/gateway/placer.py
@@ -14,7 +14,7 @@
 import logbook
 import trio
 
-from lagoonlever.decisions.engines.engine_paces import KeptPace
+from lagoonlever.decisions.engines.engine_paces import StoredTimings
 from lagoonlever.decisions.engines.uneven_engines import UnevenChoice
 from lagoonlever.decisions.fleet.news_paths import book_holders
 from lagoonlever.decisions.fleet.roles import Roles
@@ -171,7 +171,7 @@
         state = self._beliefs.fellows.find(hub)
         return state.bus if state is not None else None
 
-    def _recall(self, service: str, pace: KeptPace | None) -> None:
+    def _recall(self, service: str, pace: StoredTimings | None) -> None:
         """Take what the hub knows of the engines, where this VM has seen no stream yet."""
         if pace is not None:
             self._beliefs.book.paces.recall(service, pace, self._timers.now)
--- a/lagoonlever/peers/messages_placement.py
+++ b/lagoonlever/peers/messages_placement.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from lagoonlever.decisions.engines.engine_paces import KeptPace
+from lagoonlever.decisions.engines.engine_paces import StoredTimings
 from lagoonlever.decisions.streams.booked_runs import BookedRun
 from lagoonlever.decisions.streams.run_placement import (
     BudgetSpent,
@@ -42,11 +42,11 @@
     placed: Placed | None = None
     overloaded: Overloaded | None = None
     budget_spent: bool = False
-    pace: KeptPace | None = None
+    pace: StoredTimings | None = None
     """What is known of the service's engines, for a VM that has seen few streams."""
 
     @classmethod
-    def of(cls, number: int, outcome: RunOutcome, pace: KeptPace | None) -> PlacementTold:
+    def of(cls, number: int, outcome: RunOutcome, pace: StoredTimings | None) -> PlacementTold:
         """Give the message that tells an outcome."""
         return cls(
             number=number,
--- a/lagoonlever/tests/pace_keeper_tests.py
+++ b/lagoonlever/tests/pace_keeper_tests.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lagoonlever.decisions.engines.engine_paces import EngineTimings, KeptPace
+from lagoonlever.decisions.engines.engine_paces import EngineTimings, StoredTimings
 from lagoonlever.fakes.metadata_store import StoreFault
 from lagoonlever.gateway import pace_keeper
 from lagoonlever.gateway.pace_keeper import PACES_KEY
@@ -17,7 +17,7 @@
 from lagoonlever.tests.engine_paces_tests import SERVICE, needed_s, seen
 from lagoonlever.tests.gateway_site import GatewaySite, run_site, until
 
-KEPT = KeptPace(prompt_token_s=0.0002, token_s=0.009, reading_s=2.0)
+KEPT = StoredTimings(prompt_token_s=0.0002, token_s=0.009, reading_s=2.0)
 FIGURE = st.floats(min_value=1e-9, max_value=1e9)
 
 
@@ -50,7 +50,7 @@
 def test_odd_figures_are_held_within_a_bound(
     prompt_token_s: float, token_s: float, reading_s: float
 ) -> None:
-    kept = KeptPace(prompt_token_s=prompt_token_s, token_s=token_s, reading_s=reading_s)
+    kept = StoredTimings(prompt_token_s=prompt_token_s, token_s=token_s, reading_s=reading_s)
     paces = EngineTimings()
     paces.recall(SERVICE, kept, 0.0)
     assert 0.1 < paces.usual_reading_s(SERVICE) <= 8.0
