--- a/lagoonlever/decisions/engines/engine_paces.py
+++ b/lagoonlever/decisions/engines/engine_paces.py
@@ -51,7 +51,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Pace:
+class TokenTimes:
     """Seconds for each token of a prompt that is read, and for each token that is made."""
 
     prompt_token_s: float
@@ -227,11 +227,11 @@
         known = self._readings.get(service)
         return known.value if known is not None else PRIOR_READING_S
 
-    def fastest(self, service: str) -> Pace:
+    def fastest(self, service: str) -> TokenTimes:
         """Give a pace that no engine of a service surpasses, as far as can be told."""
         learnt = [each for (of_service, _), each in self._engines.items() if of_service == service]
         general = self._service(service)
-        return Pace(
+        return TokenTimes(
             prompt_token_s=_surely(
                 general.prompt_token_s, [each.prompt_token_s for each in learnt]
             ),
--- a/lagoonlever/decisions/streams/time.py
+++ b/lagoonlever/decisions/streams/time.py
@@ -9,7 +9,7 @@
 
 from __future__ import annotations
 
-from lagoonlever.decisions.engines.engine_paces import Pace
+from lagoonlever.decisions.engines.engine_paces import TokenTimes
 
 SHORTEST = 0.6
 """Of the announced length: answers are often shorter, and one that can end must not be refused."""
@@ -17,7 +17,7 @@
 
 def least_time_s(
     *,
-    pace: Pace,
+    pace: TokenTimes,
     prompt_tokens: int,
     output_tokens: int,
     position: int,
