--- a/lagoonlever/decisions/engines/engine_scheduler.py
+++ b/lagoonlever/decisions/engines/engine_scheduler.py
@@ -27,7 +27,7 @@
     OTHER_DATA_CENTER_S,
     EngineLoad,
 )
-from lagoonlever.decisions.engines.engine_paces import EngineTimings
+from lagoonlever.decisions.engines.engine_timings import EngineTimings
 from lagoonlever.decisions.engines.reading_window import ReadingWindow
 from lagoonlever.decisions.engines.uneven_engines import UnevenChoice, UnevenEngines
 from lagoonlever.decisions.settings.configuration import EngineLimits
--- a/lagoonlever/decisions/engines/uneven_engines.py
+++ b/lagoonlever/decisions/engines/uneven_engines.py
@@ -11,7 +11,7 @@
 
 import attrs
 
-from lagoonlever.decisions.engines.engine_paces import EngineTimings
+from lagoonlever.decisions.engines.engine_timings import EngineTimings
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS, gives
 from lagoonlever.decisions.targets.load_estimate import LoadSource
 from lagoonlever.decisions.targets.load_view import MOMENT_S, TargetLoads
--- a/lagoonlever/decisions/streams/time.py
+++ b/lagoonlever/decisions/streams/time.py
@@ -9,7 +9,7 @@
 
 from __future__ import annotations
 
-from lagoonlever.decisions.engines.engine_paces import TokenTimes
+from lagoonlever.decisions.engines.engine_timings import TokenTimes
 
 SHORTEST = 0.6
 """Of the announced length: answers are often shorter, and one that can end must not be refused."""
--- a/lagoonlever/gateway/pace_keeper.py
+++ b/lagoonlever/gateway/pace_keeper.py
@@ -17,7 +17,7 @@
 import msgspec
 import trio
 
-from lagoonlever.decisions.engines.engine_paces import StoredTimings
+from lagoonlever.decisions.engines.engine_timings import StoredTimings
 from lagoonlever.decisions.fleet.roles import Roles
 from lagoonlever.exceptions import PlatformError
 from lagoonlever.gateway import events
--- a/lagoonlever/gateway/placer.py
+++ b/lagoonlever/gateway/placer.py
@@ -14,7 +14,7 @@
 import logbook
 import trio
 
-from lagoonlever.decisions.engines.engine_paces import StoredTimings
+from lagoonlever.decisions.engines.engine_timings import StoredTimings
 from lagoonlever.decisions.engines.uneven_engines import UnevenChoice
 from lagoonlever.decisions.fleet.news_paths import book_holders
 from lagoonlever.decisions.fleet.roles import Roles
--- a/lagoonlever/peers/messages_placement.py
+++ b/lagoonlever/peers/messages_placement.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from lagoonlever.decisions.engines.engine_paces import StoredTimings
+from lagoonlever.decisions.engines.engine_timings import StoredTimings
 from lagoonlever.decisions.streams.booked_runs import BookedRun
 from lagoonlever.decisions.streams.run_placement import (
     BudgetSpent,
--- a/lagoonlever/tests/engine_book_tests.py
+++ b/lagoonlever/tests/engine_book_tests.py
@@ -12,7 +12,7 @@
     EngineScheduler,
     RunCopy,
 )
-from lagoonlever.decisions.engines.engine_paces import PRIOR_PROMPT_TOKEN_S
+from lagoonlever.decisions.engines.engine_timings import PRIOR_PROMPT_TOKEN_S
 from lagoonlever.decisions.settings.configuration import EngineLimits
 from lagoonlever.decisions.targets.listed_target import ListedTarget
 from lagoonlever.http.messages import Address
--- a/lagoonlever/tests/engine_paces_tests.py
+++ b/lagoonlever/tests/engine_paces_tests.py
@@ -8,7 +8,7 @@
 import pytest
 
 from lagoonlever.decisions.engines.engine_scheduler import EngineScheduler
-from lagoonlever.decisions.engines.engine_paces import PRIOR_PROMPT_TOKEN_S, EngineTimings
+from lagoonlever.decisions.engines.engine_timings import PRIOR_PROMPT_TOKEN_S, EngineTimings
 from lagoonlever.decisions.streams.booked_runs import BookedRun
 from lagoonlever.decisions.streams.time import least_time_s
 from lagoonlever.tests.engine_book_tests import ENGINES, LIMITS
--- a/lagoonlever/tests/pace_keeper_tests.py
+++ b/lagoonlever/tests/pace_keeper_tests.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lagoonlever.decisions.engines.engine_paces import EngineTimings, StoredTimings
+from lagoonlever.decisions.engines.engine_timings import EngineTimings, StoredTimings
 from lagoonlever.fakes.metadata_store import StoreFault
 from lagoonlever.gateway import pace_keeper
 from lagoonlever.gateway.pace_keeper import PACES_KEY
