--- a/lagoonlever/commands/barred.py
+++ b/lagoonlever/commands/barred.py
@@ -11,7 +11,7 @@
 
 from lagoonlever.commands.exit_codes import ExitCode
 from lagoonlever.commands.store_reads import read_store
-from lagoonlever.decisions.engines.crash_ends import End
+from lagoonlever.decisions.engines.crash_ends import Crash
 from lagoonlever.decisions.engines.crash_suspects import CrashSuspects
 from lagoonlever.gateway.crash_records import RECORD_KEY
 from lagoonlever.platform.store import MetadataStore
@@ -38,14 +38,14 @@
         typer.echo(text)
 
 
-async def _read(store: MetadataStore) -> dict[str, dict[str, End]]:
+async def _read(store: MetadataStore) -> dict[str, dict[str, Crash]]:
     read = await store.get(RECORD_KEY)
     if read.entry is None:
         return {}
-    return msgspec.json.decode(read.entry.value, type=dict[str, dict[str, End]])
+    return msgspec.json.decode(read.entry.value, type=dict[str, dict[str, Crash]])
 
 
-def _rows(ends: dict[str, dict[str, End]], now: float) -> list[str]:
+def _rows(ends: dict[str, dict[str, Crash]], now: float) -> list[str]:
     """Give a line for each request, those whose last end was latest first."""
     known = {fingerprint: processes for fingerprint, processes in ends.items() if processes}
     suspects = CrashSuspects()
--- a/lagoonlever/decisions/engines/crash_causes.py
+++ b/lagoonlever/decisions/engines/crash_causes.py
@@ -10,7 +10,7 @@
 import itertools
 from collections.abc import Container, Iterable, Mapping
 
-from lagoonlever.decisions.engines.crash_ends import End, Ends
+from lagoonlever.decisions.engines.crash_ends import Crash, Ends
 
 MOST_ENDED = 3.0
 """Targets that may end under a request: one is an accident, two may be one."""
@@ -32,7 +32,7 @@
     """
     enough = [fingerprint for fingerprint in ends if weight_of(ends[fingerprint]) >= MOST_ENDED]
     shared = _shared(enough, ends)
-    seen: dict[str, dict[str, End]] = {fingerprint: {} for fingerprint in enough}
+    seen: dict[str, dict[str, Crash]] = {fingerprint: {} for fingerprint in enough}
     causes: set[str] = set()
     explained: set[str] = set()
     in_order = sorted((end.at, f, process) for f in enough for process, end in ends[f].items())
@@ -75,7 +75,7 @@
 
 
 def weight_of(
-    processes: Mapping[str, End], explained: Container[str] = (), shared: Container[str] = ()
+    processes: Mapping[str, Crash], explained: Container[str] = (), shared: Container[str] = ()
 ) -> float:
     """Give what ends weigh together; ``explained`` by a cause, or ``shared`` with a rival."""
     return sum(
@@ -84,7 +84,7 @@
     )
 
 
-def _counted(end: End, *, is_explained: bool, is_shared: bool) -> float:
+def _counted(end: Crash, *, is_explained: bool, is_shared: bool) -> float:
     if is_explained:
         return end.weight - EXPLAINED
     return end.weight * EXPLAINED_BY_RIVAL if is_shared else end.weight
--- a/lagoonlever/decisions/engines/crash_ends.py
+++ b/lagoonlever/decisions/engines/crash_ends.py
@@ -15,27 +15,27 @@
 
 
 @attrs.frozen(kw_only=True)
-class End:
+class Crash:
     """A target's process ended under a request; ``at`` in seconds."""
 
     at: float
     weight: float = BEGAN
 
     @classmethod
-    def told(cls, *, at: float, weight: float) -> End:
+    def told(cls, *, at: float, weight: float) -> Crash:
         """Give an end that came from outside, its weight one of those that there are."""
         return cls(at=at, weight=BEGAN if weight >= BEGAN else WAITED)
 
-    def joined(self, other: End) -> End:
+    def joined(self, other: Crash) -> Crash:
         """Give what two words of the same end tell together."""
-        return End(at=min(self.at, other.at), weight=max(self.weight, other.weight))
+        return Crash(at=min(self.at, other.at), weight=max(self.weight, other.weight))
 
-    def may_explain(self, other: End) -> bool:
+    def may_explain(self, other: Crash) -> bool:
         """Tell whether the request at this end is as likely its cause as that of ``other``."""
         return self.weight >= other.weight and self.at <= other.at + LATE_NEWS_S
 
 
-Ends = Mapping[str, Mapping[str, End]]
+Ends = Mapping[str, Mapping[str, Crash]]
 """By a request's fingerprint: the ends of processes under it, by the process."""
 
 
--- a/lagoonlever/decisions/engines/crash_suspects.py
+++ b/lagoonlever/decisions/engines/crash_suspects.py
@@ -26,7 +26,7 @@
 import attrs
 
 from lagoonlever.decisions.engines.crash_causes import MOST_ENDED, causes_of, weight_of
-from lagoonlever.decisions.engines.crash_ends import BEGAN, LATE_NEWS_S, End, Ends
+from lagoonlever.decisions.engines.crash_ends import BEGAN, LATE_NEWS_S, Crash, Ends
 
 T = TypeVar("T")
 
@@ -74,7 +74,7 @@
 class CrashSuspects:
     """What is known of all VMs' requests; times are seconds of the monotonic clock."""
 
-    _ends: dict[str, dict[str, End]] = attrs.field(factory=dict)
+    _ends: dict[str, dict[str, Crash]] = attrs.field(factory=dict)
     _barred: frozenset[str] = frozenset()
     _answers: dict[str, _Answer] = attrs.field(factory=dict)
     """The last whole answer to each request, the oldest first."""
@@ -91,7 +91,7 @@
         """The requests that are taken for the cause, also those whose time is over."""
         return self._barred
 
-    def ended_under(self, fingerprint: str, process: str, end: End) -> bool:
+    def ended_under(self, fingerprint: str, process: str, end: Crash) -> bool:
         """Note that a process ended under a request; gives whether that is news.
 
         The same end is told by each VM that had the request there; the one where it had begun
@@ -204,7 +204,7 @@
             self._barred = causes_of(self._ends)
         return is_news
 
-    def _clearing_answer(self, fingerprint: str, process: str, end: End) -> _Answer | None:
+    def _clearing_answer(self, fingerprint: str, process: str, end: Crash) -> _Answer | None:
         """Give the answer that has cleared an end, or None if it counts."""
         answer = self._answers.get(fingerprint)
         if answer is not None and end.at <= answer.at + LATE_NEWS_S:
@@ -232,5 +232,5 @@
         del known[next(iter(known))]
 
 
-def _last_at(processes: Mapping[str, End]) -> float:
+def _last_at(processes: Mapping[str, Crash]) -> float:
     return max(end.at for end in processes.values())
--- a/lagoonlever/entry/engines/crashes.py
+++ b/lagoonlever/entry/engines/crashes.py
@@ -11,7 +11,7 @@
 import attrs
 import logbook
 
-from lagoonlever.decisions.engines.crash_ends import BEGAN, End, process_name
+from lagoonlever.decisions.engines.crash_ends import BEGAN, Crash, process_name
 from lagoonlever.decisions.engines.crash_suspects import CrashSuspects
 from lagoonlever.decisions.engines.fingerprints import RequestWork
 from lagoonlever.decisions.engines.suspect_gathering import gathering_engine
@@ -108,7 +108,7 @@
         if await _accepts(target) or self._suspects.has_ended(process, sent_at):
             return
         fingerprint, now = _fingerprint(spec), self._timers.now
-        if not self._suspects.ended_under(fingerprint, process, End(at=now, weight=BEGAN)):
+        if not self._suspects.ended_under(fingerprint, process, Crash(at=now, weight=BEGAN)):
             return
         ENGINE_ENDED_UNDER.log(
             log,
--- a/lagoonlever/gateway/crash_records.py
+++ b/lagoonlever/gateway/crash_records.py
@@ -15,7 +15,7 @@
 import msgspec
 import trio
 
-from lagoonlever.decisions.engines.crash_ends import End, Ends
+from lagoonlever.decisions.engines.crash_ends import Crash, Ends
 from lagoonlever.decisions.engines.crash_suspects import CrashSuspects
 from lagoonlever.exceptions import PlatformError
 from lagoonlever.gateway import events
@@ -158,7 +158,7 @@
         to_unix = self._unix_now() - self._now()
         return {
             fingerprint: {
-                process: End(at=round(end.at + to_unix, 3), weight=end.weight)
+                process: Crash(at=round(end.at + to_unix, 3), weight=end.weight)
                 for process, end in processes.items()
             }
             for fingerprint, processes in self._suspects.kept().items()
@@ -171,7 +171,7 @@
         if self._record.value is None:
             return
         try:
-            stored = msgspec.json.decode(self._record.value, type=dict[str, dict[str, End]])
+            stored = msgspec.json.decode(self._record.value, type=dict[str, dict[str, Crash]])
         except (msgspec.MsgspecError, RecursionError) as error:
             events.CRASHES_UNREADABLE.log(log, error=str(error))
             return
@@ -179,7 +179,7 @@
         now, to_monotonic = self._now(), self._now() - self._unix_now()
         ends = {
             fingerprint: {
-                process: End.told(at=min(now, end.at + to_monotonic), weight=end.weight)
+                process: Crash.told(at=min(now, end.at + to_monotonic), weight=end.weight)
                 for process, end in processes.items()
             }
             for fingerprint, processes in stored.items()
--- a/lagoonlever/gateway/crash_watch.py
+++ b/lagoonlever/gateway/crash_watch.py
@@ -15,7 +15,7 @@
 import logbook
 import trio
 
-from lagoonlever.decisions.engines.crash_ends import BEGAN, End, process_name
+from lagoonlever.decisions.engines.crash_ends import BEGAN, Crash, process_name
 from lagoonlever.decisions.engines.crash_suspects import CrashSuspects
 from lagoonlever.decisions.engines.suspect_gathering import gathering_engine
 from lagoonlever.decisions.fleet.roles import Roles
@@ -204,7 +204,7 @@
         """Count an end that this VM saw; gives whether it is news."""
         fingerprint = accepted.fingerprint
         process = process_name(target.id, target.started_ms)
-        end = End(at=self._timers.now, weight=weight)
+        end = Crash(at=self._timers.now, weight=weight)
         if not self._suspects.ended_under(fingerprint, process, end):
             return False
         events.TARGET_ENDED_UNDER.log(
@@ -224,7 +224,7 @@
         return True
 
     def _take_news(self) -> None:
-        """End what may not go on after ends were noted or told."""
+        """Crash what may not go on after ends were noted or told."""
         self._note_barred()
         for fingerprint in self._open.keys() & self._suspects.ends.keys():
             for work in self._open[fingerprint]:
--- a/lagoonlever/peers/messages_crashes.py
+++ b/lagoonlever/peers/messages_crashes.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from lagoonlever.decisions.engines.crash_ends import End, Ends
+from lagoonlever.decisions.engines.crash_ends import Crash, Ends
 from lagoonlever.peers.messages import PEER
 
 
@@ -37,8 +37,8 @@
 
 def read_ends(message: TargetsEnded, now: float) -> Ends:
     """Give what a message tells, in seconds of the receiver's clock."""
-    ends: dict[str, dict[str, End]] = {}
+    ends: dict[str, dict[str, Crash]] = {}
     for told in message.ends:
-        end = End.told(at=now - max(0.0, told.age_s), weight=told.weight)
+        end = Crash.told(at=now - max(0.0, told.age_s), weight=told.weight)
         ends.setdefault(told.fingerprint, {})[told.process] = end
     return ends
--- a/lagoonlever/tests/store_restored_tests.py
+++ b/lagoonlever/tests/store_restored_tests.py
@@ -9,7 +9,7 @@
 import pytest
 import trio
 
-from lagoonlever.decisions.engines.crash_ends import End
+from lagoonlever.decisions.engines.crash_ends import Crash
 from lagoonlever.decisions.engines.crash_suspects import CrashSuspects
 from lagoonlever.fakes.metadata_store import FakeMetadataStore, StoreCopy
 from lagoonlever.gateway.crash_records import RECORD_KEY, CrashRecords
@@ -341,7 +341,7 @@
 async def record(kept: CrashRecords, suspects: CrashSuspects, fingerprint: str) -> None:
     """Have two ends under a request noted, and written to the record."""
     for process in ("p1", "p2"):
-        suspects.ended_under(fingerprint, process, End(at=trio.current_time(), weight=1.0))
+        suspects.ended_under(fingerprint, process, Crash(at=trio.current_time(), weight=1.0))
     await kept._until_done(kept._write)
 
 
--- a/lagoonlever/tests/suspect_gathering_tests.py
+++ b/lagoonlever/tests/suspect_gathering_tests.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from lagoonlever.decisions.engines.crash_ends import BEGAN, WAITED, End, process_name
+from lagoonlever.decisions.engines.crash_ends import BEGAN, WAITED, Crash, process_name
 from lagoonlever.decisions.engines.crash_suspects import CrashSuspects
 from lagoonlever.decisions.engines.suspect_gathering import gathering_engine
 
@@ -14,7 +14,7 @@
     """Give what is known of a request with such ends."""
     known = CrashSuspects()
     for number, weight in enumerate(weights):
-        known.ended_under("f", f"p-{number}", End(at=float(number), weight=weight))
+        known.ended_under("f", f"p-{number}", Crash(at=float(number), weight=weight))
     return known
 
 
