--- a/lagoonlever/decisions/engines/crash_causes.py
+++ b/lagoonlever/decisions/engines/crash_causes.py
@@ -10,7 +10,7 @@
 import itertools
 from collections.abc import Container, Iterable, Mapping
 
-from lagoonlever.decisions.engines.crash_ends import Crash, Ends
+from lagoonlever.decisions.engines.crash_ends import Crash, CrashesByRequest
 
 MOST_ENDED = 3.0
 """Targets that may end under a request: one is an accident, two may be one."""
@@ -20,10 +20,10 @@
 EXPLAINED_BY_RIVAL = 0.5
 """Part of its weight that an end keeps where another suspect may be the cause as well."""
 RIVAL_FROM = 2
-"""Ends at which two suspects were together, from where on either may be the cause of them."""
+"""CrashesByRequest at which two suspects were together, from where on either may be the cause of them."""
 
 
-def causes_of(ends: Ends) -> frozenset[str]:
+def causes_of(ends: CrashesByRequest) -> frozenset[str]:
     """Give the requests with enough ends, found in the order of these ends.
 
     One that is found explains its ends to those that come to the bound after it. By the
@@ -45,7 +45,7 @@
     return frozenset(causes)
 
 
-def _shared(enough: Iterable[str], ends: Ends) -> dict[str, set[str]]:
+def _shared(enough: Iterable[str], ends: CrashesByRequest) -> dict[str, set[str]]:
     """Give for each of some requests the ends that another suspect may explain as well."""
     together: dict[str, list[str]] = {}
     for fingerprint, processes in ends.items():
@@ -54,7 +54,9 @@
     return {fingerprint: _shared_of(fingerprint, ends, together) for fingerprint in enough}
 
 
-def _shared_of(fingerprint: str, ends: Ends, together: Mapping[str, list[str]]) -> set[str]:
+def _shared_of(
+    fingerprint: str, ends: CrashesByRequest, together: Mapping[str, list[str]]
+) -> set[str]:
     own = ends[fingerprint]
     shared: set[str] = set()
     looked_at = {fingerprint}
--- a/lagoonlever/decisions/engines/crash_ends.py
+++ b/lagoonlever/decisions/engines/crash_ends.py
@@ -35,7 +35,7 @@
         return self.weight >= other.weight and self.at <= other.at + LATE_NEWS_S
 
 
-Ends = Mapping[str, Mapping[str, Crash]]
+CrashesByRequest = Mapping[str, Mapping[str, Crash]]
 """By a request's fingerprint: the ends of processes under it, by the process."""
 
 
--- a/lagoonlever/decisions/engines/crash_suspects.py
+++ b/lagoonlever/decisions/engines/crash_suspects.py
@@ -26,12 +26,12 @@
 import attrs
 
 from lagoonlever.decisions.engines.crash_causes import MOST_ENDED, causes_of, weight_of
-from lagoonlever.decisions.engines.crash_ends import BEGAN, LATE_NEWS_S, Crash, Ends
+from lagoonlever.decisions.engines.crash_ends import BEGAN, LATE_NEWS_S, Crash, CrashesByRequest
 
 T = TypeVar("T")
 
 KEPT_FROM = 2
-"""Ends under a request that are worth a call to the store. A target that crashes takes all
+"""CrashesByRequest under a request that are worth a call to the store. A target that crashes takes all
 requests that it has with it, and nearly all of them are served elsewhere."""
 BARRED_S = 600.0
 """From the last end under it until a request may be tried again, as a repair may be out."""
@@ -82,7 +82,7 @@
     """The last whole answer to each request that had ends, the oldest first."""
 
     @property
-    def ends(self) -> Ends:
+    def ends(self) -> CrashesByRequest:
         """Every end that is remembered."""
         return self._ends
 
@@ -99,7 +99,7 @@
         """
         return self._add({fingerprint: {process: end}})
 
-    def learn(self, ends: Ends) -> bool:
+    def learn(self, ends: CrashesByRequest) -> bool:
         """Take ends that other VMs saw, but what an answer cleared; gives whether any is news."""
         counted = {
             fingerprint: {
@@ -116,7 +116,7 @@
         known = (processes.get(process) for processes in self._ends.values())
         return any(end is not None and end.at < before for end in known)
 
-    def cleared(self, ends: Ends) -> frozenset[str]:
+    def cleared(self, ends: CrashesByRequest) -> frozenset[str]:
         """Give the requests that were answered after ends, or just before these were told."""
         return frozenset(
             fingerprint
@@ -125,7 +125,7 @@
             if self._clearing_answer(fingerprint, process, end) is not None
         )
 
-    def cleared_here(self, ends: Ends) -> frozenset[str]:
+    def cleared_here(self, ends: CrashesByRequest) -> frozenset[str]:
         """Give those of them that this VM has answered."""
         return frozenset(
             fingerprint
@@ -159,7 +159,7 @@
             return False
         return weight_of(self._ends.get(fingerprint, {})) >= MOST_ENDED - BEGAN
 
-    def kept(self) -> Ends:
+    def kept(self) -> CrashesByRequest:
         """Give the requests that are to outlive this VM."""
         return {
             fingerprint: processes
@@ -190,7 +190,7 @@
                 break
             del self._clearings[fingerprint]
 
-    def _add(self, ends: Ends) -> bool:
+    def _add(self, ends: CrashesByRequest) -> bool:
         is_news = is_changed = False
         for fingerprint, processes in ends.items():
             known = self._ends.setdefault(fingerprint, {})
--- a/lagoonlever/gateway/crash_records.py
+++ b/lagoonlever/gateway/crash_records.py
@@ -15,7 +15,7 @@
 import msgspec
 import trio
 
-from lagoonlever.decisions.engines.crash_ends import Crash, Ends
+from lagoonlever.decisions.engines.crash_ends import Crash, CrashesByRequest
 from lagoonlever.decisions.engines.crash_suspects import CrashSuspects
 from lagoonlever.exceptions import PlatformError
 from lagoonlever.gateway import events
@@ -154,7 +154,7 @@
             if fingerprint not in self._served
         }
 
-    def _document(self, *, without: frozenset[str]) -> Ends:
+    def _document(self, *, without: frozenset[str]) -> CrashesByRequest:
         to_unix = self._unix_now() - self._now()
         return {
             fingerprint: {
--- a/lagoonlever/peers/messages_crashes.py
+++ b/lagoonlever/peers/messages_crashes.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from lagoonlever.decisions.engines.crash_ends import Crash, Ends
+from lagoonlever.decisions.engines.crash_ends import Crash, CrashesByRequest
 from lagoonlever.peers.messages import PEER
 
 
@@ -22,7 +22,7 @@
 @PEER.message("gd")
 @attrs.frozen(kw_only=True)
 class TargetsEnded:
-    """Ends of targets, of one VM or of all that the sender has heard of."""
+    """CrashesByRequest of targets, of one VM or of all that the sender has heard of."""
 
     ends: tuple[EndTold, ...]
 
@@ -35,7 +35,7 @@
     fingerprint: str
 
 
-def read_ends(message: TargetsEnded, now: float) -> Ends:
+def read_ends(message: TargetsEnded, now: float) -> CrashesByRequest:
     """Give what a message tells, in seconds of the receiver's clock."""
     ends: dict[str, dict[str, Crash]] = {}
     for told in message.ends:
