--- a/lagoonlever/decisions/engines/crash_ends.py
+++ b/lagoonlever/decisions/engines/crash_ends.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-BEGAN = 1.0
+WEIGHT_STARTED = 1.0
 """The weight of an end where the target had begun to run the request, or may be assumed to."""
 WAITED = 0.5
 """The same where the request may only have waited at the target."""
@@ -19,12 +19,12 @@
     """A target's process ended under a request; ``at`` in seconds."""
 
     at: float
-    weight: float = BEGAN
+    weight: float = WEIGHT_STARTED
 
     @classmethod
     def told(cls, *, at: float, weight: float) -> Crash:
         """Give an end that came from outside, its weight one of those that there are."""
-        return cls(at=at, weight=BEGAN if weight >= BEGAN else WAITED)
+        return cls(at=at, weight=WEIGHT_STARTED if weight >= WEIGHT_STARTED else WAITED)
 
     def joined(self, other: Crash) -> Crash:
         """Give what two words of the same end tell together."""
--- a/lagoonlever/decisions/engines/crash_suspects.py
+++ b/lagoonlever/decisions/engines/crash_suspects.py
@@ -26,7 +26,12 @@
 import attrs
 
 from lagoonlever.decisions.engines.crash_causes import MOST_ENDED, causes_of, weight_of
-from lagoonlever.decisions.engines.crash_ends import BEGAN, LATE_NEWS_S, Crash, CrashesByRequest
+from lagoonlever.decisions.engines.crash_ends import (
+    WEIGHT_STARTED,
+    LATE_NEWS_S,
+    Crash,
+    CrashesByRequest,
+)
 
 T = TypeVar("T")
 
@@ -157,7 +162,7 @@
         """Tell whether one more end bars a request, at the most that an end counts."""
         if fingerprint in self._barred:
             return False
-        return weight_of(self._ends.get(fingerprint, {})) >= MOST_ENDED - BEGAN
+        return weight_of(self._ends.get(fingerprint, {})) >= MOST_ENDED - WEIGHT_STARTED
 
     def kept(self) -> CrashesByRequest:
         """Give the requests that are to outlive this VM."""
--- a/lagoonlever/entry/engines/crashes.py
+++ b/lagoonlever/entry/engines/crashes.py
@@ -11,7 +11,7 @@
 import attrs
 import logbook
 
-from lagoonlever.decisions.engines.crash_ends import BEGAN, Crash, process_name
+from lagoonlever.decisions.engines.crash_ends import WEIGHT_STARTED, Crash, process_name
 from lagoonlever.decisions.engines.crash_suspects import CrashSuspects
 from lagoonlever.decisions.engines.fingerprints import RequestWork
 from lagoonlever.decisions.engines.suspect_gathering import gathering_engine
@@ -108,7 +108,9 @@
         if await _accepts(target) or self._suspects.has_ended(process, sent_at):
             return
         fingerprint, now = _fingerprint(spec), self._timers.now
-        if not self._suspects.ended_under(fingerprint, process, Crash(at=now, weight=BEGAN)):
+        if not self._suspects.ended_under(
+            fingerprint, process, Crash(at=now, weight=WEIGHT_STARTED)
+        ):
             return
         ENGINE_ENDED_UNDER.log(
             log,
@@ -118,7 +120,7 @@
             ended=self._suspects.count(fingerprint),
             fingerprint=fingerprint,
         )
-        told = EndTold(fingerprint=fingerprint, process=process, age_s=0.0, weight=BEGAN)
+        told = EndTold(fingerprint=fingerprint, process=process, age_s=0.0, weight=WEIGHT_STARTED)
         self._tell(TargetsEnded(ends=(told,)))
         self._ends_known()
 
--- a/lagoonlever/gateway/crash_watch.py
+++ b/lagoonlever/gateway/crash_watch.py
@@ -15,7 +15,7 @@
 import logbook
 import trio
 
-from lagoonlever.decisions.engines.crash_ends import BEGAN, Crash, process_name
+from lagoonlever.decisions.engines.crash_ends import WEIGHT_STARTED, Crash, process_name
 from lagoonlever.decisions.engines.crash_suspects import CrashSuspects
 from lagoonlever.decisions.engines.suspect_gathering import gathering_engine
 from lagoonlever.decisions.fleet.roles import Roles
@@ -185,7 +185,7 @@
     async def lost_call(self, accepted: Accepted, target: ListedTarget, *, sent_at: float) -> None:
         """Look whether a target has ended under a call: one that has takes no connection."""
         if not await self._client.reaches(target):
-            await self.ended_under(accepted, target, weight=BEGAN, sent_at=sent_at)
+            await self.ended_under(accepted, target, weight=WEIGHT_STARTED, sent_at=sent_at)
 
     def served(self, accepted: Accepted) -> None:
         """Note that a target has answered a request whole: it ends no target."""
--- a/lagoonlever/gateway/stream_attempt.py
+++ b/lagoonlever/gateway/stream_attempt.py
@@ -6,7 +6,7 @@
 import logbook
 import trio
 
-from lagoonlever.decisions.engines.crash_ends import BEGAN, WAITED
+from lagoonlever.decisions.engines.crash_ends import WEIGHT_STARTED, WAITED
 from lagoonlever.decisions.engines.engine_rank import rank_at_engine
 from lagoonlever.decisions.engines.engine_reports import is_preempted
 from lagoonlever.decisions.streams.booked_runs import RunCopy
@@ -433,7 +433,7 @@
         if self._flowing:
             return 0.0
         if self._answered:
-            return BEGAN
+            return WEIGHT_STARTED
         return 0.0 if ended.unanswered or self._life.position else WAITED
 
     @property
--- a/lagoonlever/tests/crash_news_tests.py
+++ b/lagoonlever/tests/crash_news_tests.py
@@ -7,7 +7,7 @@
 import trio
 
 from lagoonlever.bench.local_fleet import Fleet, FleetVm, run_fleet, start_many
-from lagoonlever.decisions.engines.crash_ends import BEGAN, Crash
+from lagoonlever.decisions.engines.crash_ends import WEIGHT_STARTED, Crash
 from lagoonlever.decisions.engines.crash_suspects import CrashSuspects
 from lagoonlever.gateway.crash_news import CrashNews
 from lagoonlever.gateway.hub_spread import HubSpread
@@ -31,7 +31,7 @@
     def sees_end(self, process: str) -> None:
         """Note and tell an end under the one request of these tests."""
         self.suspects.ended_under("f1", process, Crash(at=trio.current_time()))
-        told = EndTold(fingerprint="f1", process=process, age_s=0.0, weight=BEGAN)
+        told = EndTold(fingerprint="f1", process=process, age_s=0.0, weight=WEIGHT_STARTED)
         self.news.tell(TargetsEnded(ends=(told,)))
 
 
@@ -110,7 +110,7 @@
         for vm in vms[10:60]:
             name = vm.vm.state.life.name
             vm.suspects.ended_under(name, "a", Crash(at=trio.current_time()))
-            told = EndTold(fingerprint=name, process="a", age_s=0.0, weight=BEGAN)
+            told = EndTold(fingerprint=name, process="a", age_s=0.0, weight=WEIGHT_STARTED)
             vm.news.tell(TargetsEnded(ends=(told,)))
         await trio.sleep(TOLD_S)
         hubs = 6
--- a/lagoonlever/tests/crash_suspects_tests.py
+++ b/lagoonlever/tests/crash_suspects_tests.py
@@ -8,7 +8,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lagoonlever.decisions.engines.crash_ends import BEGAN, LATE_NEWS_S, WAITED, Crash, process_name
+from lagoonlever.decisions.engines.crash_ends import (
+    WEIGHT_STARTED,
+    LATE_NEWS_S,
+    WAITED,
+    Crash,
+    process_name,
+)
 from lagoonlever.decisions.engines.crash_suspects import (
     BARRED_S,
     KEPT_S,
@@ -22,7 +28,7 @@
     st.tuples(
         st.sampled_from(("f1", "f2")),
         st.sampled_from(("a", "b", "c", "d")),
-        st.builds(Crash, at=st.floats(0.0, 50.0), weight=st.sampled_from((BEGAN, WAITED))),
+        st.builds(Crash, at=st.floats(0.0, 50.0), weight=st.sampled_from((WEIGHT_STARTED, WAITED))),
     ),
     max_size=12,
 )
@@ -37,7 +43,7 @@
 
 
 def test_the_third_end_bars_a_request_for_a_while() -> None:
-    suspects = suspects_of(("a", BEGAN), ("b", BEGAN))
+    suspects = suspects_of(("a", WEIGHT_STARTED), ("b", WEIGHT_STARTED))
     assert suspects.bar("f1", 2.0) is None
     suspects.ended_under("f1", "c", Crash(at=2.0))
     bar = suspects.bar("f1", 2.0)
@@ -46,7 +52,7 @@
 
 
 def test_after_its_time_one_more_end_bars_it_again() -> None:
-    suspects = suspects_of(("a", BEGAN), ("b", BEGAN), ("c", BEGAN))
+    suspects = suspects_of(("a", WEIGHT_STARTED), ("b", WEIGHT_STARTED), ("c", WEIGHT_STARTED))
     later = 3.0 + BARRED_S
     suspects.expire(later)
     assert suspects.bar("f1", later) is None
@@ -58,7 +64,7 @@
 
 def test_one_end_told_by_many_counts_once() -> None:
     """Two returns of one caller are at an engine as it ends, and both VMs tell of it."""
-    suspects = suspects_of(("a", BEGAN))
+    suspects = suspects_of(("a", WEIGHT_STARTED))
     assert not suspects.ended_under("f1", "a", Crash(at=1.0))
     assert not suspects.ended_under("f1", "a", Crash(at=1.0, weight=WAITED))
     assert suspects.count("f1") == 1
@@ -77,14 +83,14 @@
 
 
 def test_where_it_had_begun_goes_before_where_it_may_have_waited() -> None:
-    suspects = suspects_of(("a", WAITED), ("b", BEGAN), ("c", BEGAN))
+    suspects = suspects_of(("a", WAITED), ("b", WEIGHT_STARTED), ("c", WEIGHT_STARTED))
     assert suspects.bar("f1", 3.0) is None
-    assert suspects.ended_under("f1", "a", Crash(at=3.0, weight=BEGAN))
+    assert suspects.ended_under("f1", "a", Crash(at=3.0, weight=WEIGHT_STARTED))
     assert suspects.bar("f1", 3.0) is not None
 
 
 def test_a_whole_answer_forgets_what_was_counted() -> None:
-    suspects = suspects_of(("a", BEGAN), ("b", BEGAN))
+    suspects = suspects_of(("a", WEIGHT_STARTED), ("b", WEIGHT_STARTED))
     assert suspects.served("f1", 2.0, is_own=True)
     assert not suspects.served("f1", 2.0, is_own=True)
     suspects.ended_under("f1", "c", Crash(at=2.0))
@@ -106,7 +112,7 @@
 
 def test_ends_that_an_answer_cleared_do_not_come_back_with_an_older_record() -> None:
     """Guards against a store that comes back from before the answer, and tells its ends again."""
-    suspects = suspects_of(("a", BEGAN), ("b", BEGAN))
+    suspects = suspects_of(("a", WEIGHT_STARTED), ("b", WEIGHT_STARTED))
     recalled = {"f1": dict(suspects.ends["f1"])}
     assert suspects.served("f1", 5.0, is_own=False)
     suspects.expire(5.0 + RECALLED_S)
@@ -148,8 +154,15 @@
 
     Its own ends would do to bar it, if nobody looked who else was there.
     """
-    suspects = suspects_of(("a", BEGAN), ("b", BEGAN), ("c", BEGAN), ("d", BEGAN))
-    for process, weight in (("a", BEGAN), ("b", BEGAN), ("c", WAITED), ("d", WAITED)):
+    suspects = suspects_of(
+        ("a", WEIGHT_STARTED), ("b", WEIGHT_STARTED), ("c", WEIGHT_STARTED), ("d", WEIGHT_STARTED)
+    )
+    for process, weight in (
+        ("a", WEIGHT_STARTED),
+        ("b", WEIGHT_STARTED),
+        ("c", WAITED),
+        ("d", WAITED),
+    ):
         suspects.ended_under("f2", process, Crash(at=4.0, weight=weight))
     assert suspects.bar("f1", 5.0) is not None
     assert suspects.bar("f2", 5.0) is None
@@ -157,7 +170,7 @@
 
 def test_two_causes_that_met_are_both_found() -> None:
     """Two questions end engines, three of them together; then the first one is barred."""
-    suspects = suspects_of(*((process, BEGAN) for process in "abcd"))
+    suspects = suspects_of(*((process, WEIGHT_STARTED) for process in "abcd"))
     for process in "abc":
         suspects.ended_under("f2", process, Crash(at=4.0))
     assert suspects.bar("f2", 5.0) is None
@@ -206,14 +219,14 @@
 
 
 def test_a_bystander_at_one_end_delays_nothing() -> None:
-    suspects = suspects_of(("a", BEGAN), ("b", BEGAN), ("c", BEGAN))
+    suspects = suspects_of(("a", WEIGHT_STARTED), ("b", WEIGHT_STARTED), ("c", WEIGHT_STARTED))
     for number in range(12):
         suspects.ended_under(f"stream-{number}", "abc"[number % 3], Crash(at=float(number % 3)))
     assert suspects.barred == {"f1"}
 
 
 def test_one_that_may_only_have_waited_explains_no_end_of_one_that_had_begun() -> None:
-    suspects = suspects_of(("a", BEGAN), ("b", BEGAN), ("c", BEGAN))
+    suspects = suspects_of(("a", WEIGHT_STARTED), ("b", WEIGHT_STARTED), ("c", WEIGHT_STARTED))
     for at, process in enumerate("abc"):
         suspects.ended_under("f2", process, Crash(at=float(at), weight=WAITED))
     assert suspects.barred == {"f1"}
@@ -223,13 +236,13 @@
     suspects = ended_together("a", "b", "c", last_told_s=0.0)
     late = ended_together("a", "b", "c", last_told_s=0.0)
     assert not suspects.barred and not late.barred
-    alone = suspects_of(("a", BEGAN), ("b", BEGAN), ("c", BEGAN))
+    alone = suspects_of(("a", WEIGHT_STARTED), ("b", WEIGHT_STARTED), ("c", WEIGHT_STARTED))
     alone.learn({"f2": {p: Crash(at=at + 2 * LATE_NEWS_S) for at, p in enumerate("abc")}})
     assert alone.barred == {"f1"}
 
 
 def test_a_process_that_had_ended_before_is_known() -> None:
-    suspects = suspects_of(("a", BEGAN), ("b", BEGAN))
+    suspects = suspects_of(("a", WEIGHT_STARTED), ("b", WEIGHT_STARTED))
     assert suspects.has_ended("b", 1.5)
     assert not suspects.has_ended("b", 0.5)
     assert not suspects.has_ended("c", 1.5)
@@ -237,7 +250,7 @@
 
 def test_a_crash_of_many_targets_does_not_push_out_what_is_barred() -> None:
     """A service's targets crash with hundreds of calls, each of them counted once."""
-    suspects = suspects_of(("a", BEGAN), ("b", BEGAN), ("c", BEGAN))
+    suspects = suspects_of(("a", WEIGHT_STARTED), ("b", WEIGHT_STARTED), ("c", WEIGHT_STARTED))
     for number in range(2 * MOST_KNOWN):
         suspects.ended_under(f"call-{number}", "d", Crash(at=10.0))
     assert suspects.bar("f1", 10.0) is not None
@@ -261,13 +274,13 @@
 
 @pytest.mark.parametrize("count", [1, 2])
 def test_one_end_is_not_worth_a_call_to_the_store(count: int) -> None:
-    suspects = suspects_of(*((name, BEGAN) for name in "ab"[:count]))
+    suspects = suspects_of(*((name, WEIGHT_STARTED) for name in "ab"[:count]))
     assert bool(suspects.kept()) == (count == 2)
 
 
 def test_more_than_can_be_remembered_is_taken_at_once() -> None:
     """Somebody writes thousands of requests into the record; a VM reads them at its start."""
-    suspects = suspects_of(("a", BEGAN), ("b", BEGAN), ("c", BEGAN))
+    suspects = suspects_of(("a", WEIGHT_STARTED), ("b", WEIGHT_STARTED), ("c", WEIGHT_STARTED))
     suspects.learn({f"r{n}": {"x": Crash(at=5.0), "y": Crash(at=5.0)} for n in range(10_000)})
     assert len(suspects.ends) == MOST_KNOWN
     assert suspects.barred == {"f1"}
@@ -275,4 +288,4 @@
 
 @given(weight=st.floats(), at=st.floats(allow_nan=False))
 def test_an_odd_weight_from_outside_counts_as_one_that_there_is(weight: float, at: float) -> None:
-    assert Crash.told(at=at, weight=weight).weight in (BEGAN, WAITED)
+    assert Crash.told(at=at, weight=weight).weight in (WEIGHT_STARTED, WAITED)
--- a/lagoonlever/tests/suspect_gathering_tests.py
+++ b/lagoonlever/tests/suspect_gathering_tests.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from lagoonlever.decisions.engines.crash_ends import BEGAN, WAITED, Crash, process_name
+from lagoonlever.decisions.engines.crash_ends import WEIGHT_STARTED, WAITED, Crash, process_name
 from lagoonlever.decisions.engines.crash_suspects import CrashSuspects
 from lagoonlever.decisions.engines.suspect_gathering import gathering_engine
 
@@ -48,12 +48,12 @@
 
 def test_a_request_is_gathered_from_the_second_end_to_the_third() -> None:
     assert not suspects().is_next_to_last("f")
-    assert not suspects(BEGAN).is_next_to_last("f")
-    assert suspects(BEGAN, BEGAN).is_next_to_last("f")
-    assert not suspects(BEGAN, BEGAN, BEGAN).is_next_to_last("f")
+    assert not suspects(WEIGHT_STARTED).is_next_to_last("f")
+    assert suspects(WEIGHT_STARTED, WEIGHT_STARTED).is_next_to_last("f")
+    assert not suspects(WEIGHT_STARTED, WEIGHT_STARTED, WEIGHT_STARTED).is_next_to_last("f")
 
 
 def test_ends_at_which_a_request_may_only_have_waited_count_half() -> None:
     """Guards against streams that crashes of a data centre have followed, kept to one engine."""
-    assert not suspects(BEGAN, WAITED).is_next_to_last("f")
-    assert suspects(BEGAN, WAITED, WAITED).is_next_to_last("f")
+    assert not suspects(WEIGHT_STARTED, WAITED).is_next_to_last("f")
+    assert suspects(WEIGHT_STARTED, WAITED, WAITED).is_next_to_last("f")
