--- a/lagoonlever/decisions/engines/crash_ends.py
+++ b/lagoonlever/decisions/engines/crash_ends.py
@@ -8,7 +8,7 @@
 
 WEIGHT_STARTED = 1.0
 """The weight of an end where the target had begun to run the request, or may be assumed to."""
-WAITED = 0.5
+WEIGHT_QUEUED = 0.5
 """The same where the request may only have waited at the target."""
 LATE_NEWS_S = 0.5
 """News of an end from before an answer arrives within this: the detection, and a message."""
@@ -24,7 +24,7 @@
     @classmethod
     def told(cls, *, at: float, weight: float) -> Crash:
         """Give an end that came from outside, its weight one of those that there are."""
-        return cls(at=at, weight=WEIGHT_STARTED if weight >= WEIGHT_STARTED else WAITED)
+        return cls(at=at, weight=WEIGHT_STARTED if weight >= WEIGHT_STARTED else WEIGHT_QUEUED)
 
     def joined(self, other: Crash) -> Crash:
         """Give what two words of the same end tell together."""
--- a/lagoonlever/gateway/stream_attempt.py
+++ b/lagoonlever/gateway/stream_attempt.py
@@ -6,7 +6,7 @@
 import logbook
 import trio
 
-from lagoonlever.decisions.engines.crash_ends import WEIGHT_STARTED, WAITED
+from lagoonlever.decisions.engines.crash_ends import WEIGHT_STARTED, WEIGHT_QUEUED
 from lagoonlever.decisions.engines.engine_rank import rank_at_engine
 from lagoonlever.decisions.engines.engine_reports import is_preempted
 from lagoonlever.decisions.streams.booked_runs import RunCopy
@@ -434,7 +434,7 @@
             return 0.0
         if self._answered:
             return WEIGHT_STARTED
-        return 0.0 if ended.unanswered or self._life.position else WAITED
+        return 0.0 if ended.unanswered or self._life.position else WEIGHT_QUEUED
 
     @property
     def _has_read(self) -> bool:
--- a/lagoonlever/tests/crash_suspects_tests.py
+++ b/lagoonlever/tests/crash_suspects_tests.py
@@ -11,7 +11,7 @@
 from lagoonlever.decisions.engines.crash_ends import (
     WEIGHT_STARTED,
     LATE_NEWS_S,
-    WAITED,
+    WEIGHT_QUEUED,
     Crash,
     process_name,
 )
@@ -28,7 +28,9 @@
     st.tuples(
         st.sampled_from(("f1", "f2")),
         st.sampled_from(("a", "b", "c", "d")),
-        st.builds(Crash, at=st.floats(0.0, 50.0), weight=st.sampled_from((WEIGHT_STARTED, WAITED))),
+        st.builds(
+            Crash, at=st.floats(0.0, 50.0), weight=st.sampled_from((WEIGHT_STARTED, WEIGHT_QUEUED))
+        ),
     ),
     max_size=12,
 )
@@ -66,7 +68,7 @@
     """Two returns of one caller are at an engine as it ends, and both VMs tell of it."""
     suspects = suspects_of(("a", WEIGHT_STARTED))
     assert not suspects.ended_under("f1", "a", Crash(at=1.0))
-    assert not suspects.ended_under("f1", "a", Crash(at=1.0, weight=WAITED))
+    assert not suspects.ended_under("f1", "a", Crash(at=1.0, weight=WEIGHT_QUEUED))
     assert suspects.count("f1") == 1
 
 
@@ -76,14 +78,14 @@
 
 
 def test_a_request_that_may_only_have_waited_counts_half() -> None:
-    suspects = suspects_of(*((name, WAITED) for name in "abcde"))
+    suspects = suspects_of(*((name, WEIGHT_QUEUED) for name in "abcde"))
     assert suspects.bar("f1", 5.0) is None
-    suspects.ended_under("f1", "f", Crash(at=5.0, weight=WAITED))
+    suspects.ended_under("f1", "f", Crash(at=5.0, weight=WEIGHT_QUEUED))
     assert suspects.bar("f1", 5.0) is not None
 
 
 def test_where_it_had_begun_goes_before_where_it_may_have_waited() -> None:
-    suspects = suspects_of(("a", WAITED), ("b", WEIGHT_STARTED), ("c", WEIGHT_STARTED))
+    suspects = suspects_of(("a", WEIGHT_QUEUED), ("b", WEIGHT_STARTED), ("c", WEIGHT_STARTED))
     assert suspects.bar("f1", 3.0) is None
     assert suspects.ended_under("f1", "a", Crash(at=3.0, weight=WEIGHT_STARTED))
     assert suspects.bar("f1", 3.0) is not None
@@ -160,8 +162,8 @@
     for process, weight in (
         ("a", WEIGHT_STARTED),
         ("b", WEIGHT_STARTED),
-        ("c", WAITED),
-        ("d", WAITED),
+        ("c", WEIGHT_QUEUED),
+        ("d", WEIGHT_QUEUED),
     ):
         suspects.ended_under("f2", process, Crash(at=4.0, weight=weight))
     assert suspects.bar("f1", 5.0) is not None
@@ -228,7 +230,7 @@
 def test_one_that_may_only_have_waited_explains_no_end_of_one_that_had_begun() -> None:
     suspects = suspects_of(("a", WEIGHT_STARTED), ("b", WEIGHT_STARTED), ("c", WEIGHT_STARTED))
     for at, process in enumerate("abc"):
-        suspects.ended_under("f2", process, Crash(at=float(at), weight=WAITED))
+        suspects.ended_under("f2", process, Crash(at=float(at), weight=WEIGHT_QUEUED))
     assert suspects.barred == {"f1"}
 
 
@@ -288,4 +290,4 @@
 
 @given(weight=st.floats(), at=st.floats(allow_nan=False))
 def test_an_odd_weight_from_outside_counts_as_one_that_there_is(weight: float, at: float) -> None:
-    assert Crash.told(at=at, weight=weight).weight in (WEIGHT_STARTED, WAITED)
+    assert Crash.told(at=at, weight=weight).weight in (WEIGHT_STARTED, WEIGHT_QUEUED)
--- a/lagoonlever/tests/suspect_gathering_tests.py
+++ b/lagoonlever/tests/suspect_gathering_tests.py
@@ -2,7 +2,12 @@
 
 from __future__ import annotations
 
-from lagoonlever.decisions.engines.crash_ends import WEIGHT_STARTED, WAITED, Crash, process_name
+from lagoonlever.decisions.engines.crash_ends import (
+    WEIGHT_STARTED,
+    WEIGHT_QUEUED,
+    Crash,
+    process_name,
+)
 from lagoonlever.decisions.engines.crash_suspects import CrashSuspects
 from lagoonlever.decisions.engines.suspect_gathering import gathering_engine
 
@@ -55,5 +60,5 @@
 
 def test_ends_at_which_a_request_may_only_have_waited_count_half() -> None:
     """Guards against streams that crashes of a data centre have followed, kept to one engine."""
-    assert not suspects(WEIGHT_STARTED, WAITED).is_next_to_last("f")
-    assert suspects(WEIGHT_STARTED, WAITED, WAITED).is_next_to_last("f")
+    assert not suspects(WEIGHT_STARTED, WEIGHT_QUEUED).is_next_to_last("f")
+    assert suspects(WEIGHT_STARTED, WEIGHT_QUEUED, WEIGHT_QUEUED).is_next_to_last("f")
