--- a/lagoonlever/decisions/engines/crash_causes.py
+++ b/lagoonlever/decisions/engines/crash_causes.py
@@ -10,7 +10,7 @@
 import itertools
 from collections.abc import Container, Iterable, Mapping
 
-from lagoonlever.decisions.engines.crash_ends import Crash, CrashesByRequest
+from lagoonlever.decisions.engines.target_crashes import Crash, CrashesByRequest
 
 MOST_ENDED = 3.0
 """Targets that may end under a request: one is an accident, two may be one."""
--- a/lagoonlever/decisions/engines/crash_suspects.py
+++ b/lagoonlever/decisions/engines/crash_suspects.py
@@ -26,7 +26,7 @@
 import attrs
 
 from lagoonlever.decisions.engines.crash_causes import MOST_ENDED, causes_of, weight_of
-from lagoonlever.decisions.engines.crash_ends import (
+from lagoonlever.decisions.engines.target_crashes import (
     WEIGHT_STARTED,
     LATE_NEWS_S,
     Crash,
--- a/lagoonlever/entry/engines/crashes.py
+++ b/lagoonlever/entry/engines/crashes.py
@@ -11,7 +11,7 @@
 import attrs
 import logbook
 
-from lagoonlever.decisions.engines.crash_ends import WEIGHT_STARTED, Crash, process_name
+from lagoonlever.decisions.engines.target_crashes import WEIGHT_STARTED, Crash, process_name
 from lagoonlever.decisions.engines.crash_suspects import CrashSuspects
 from lagoonlever.decisions.engines.fingerprints import RequestWork
 from lagoonlever.decisions.engines.suspect_gathering import gathering_engine
--- a/lagoonlever/gateway/crash_records.py
+++ b/lagoonlever/gateway/crash_records.py
@@ -15,7 +15,7 @@
 import msgspec
 import trio
 
-from lagoonlever.decisions.engines.crash_ends import Crash, CrashesByRequest
+from lagoonlever.decisions.engines.target_crashes import Crash, CrashesByRequest
 from lagoonlever.decisions.engines.crash_suspects import CrashSuspects
 from lagoonlever.exceptions import PlatformError
 from lagoonlever.gateway import events
--- a/lagoonlever/gateway/crash_watch.py
+++ b/lagoonlever/gateway/crash_watch.py
@@ -15,7 +15,7 @@
 import logbook
 import trio
 
-from lagoonlever.decisions.engines.crash_ends import WEIGHT_STARTED, Crash, process_name
+from lagoonlever.decisions.engines.target_crashes import WEIGHT_STARTED, Crash, process_name
 from lagoonlever.decisions.engines.crash_suspects import CrashSuspects
 from lagoonlever.decisions.engines.suspect_gathering import gathering_engine
 from lagoonlever.decisions.fleet.roles import Roles
--- a/lagoonlever/peers/messages_crashes.py
+++ b/lagoonlever/peers/messages_crashes.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from lagoonlever.decisions.engines.crash_ends import Crash, CrashesByRequest
+from lagoonlever.decisions.engines.target_crashes import Crash, CrashesByRequest
 from lagoonlever.peers.messages import PEER
 
 
--- a/lagoonlever/tests/crash_records_tests.py
+++ b/lagoonlever/tests/crash_records_tests.py
@@ -9,7 +9,7 @@
 import pytest
 import trio
 
-from lagoonlever.decisions.engines.crash_ends import LATE_NEWS_S
+from lagoonlever.decisions.engines.target_crashes import LATE_NEWS_S
 from lagoonlever.fakes.metadata_store import StoreFault
 from lagoonlever.gateway.crash_records import RECORD_KEY
 from lagoonlever.http.messages import Address
--- a/lagoonlever/tests/crash_suspects_tests.py
+++ b/lagoonlever/tests/crash_suspects_tests.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lagoonlever.decisions.engines.crash_ends import (
+from lagoonlever.decisions.engines.target_crashes import (
     WEIGHT_STARTED,
     LATE_NEWS_S,
     WEIGHT_QUEUED,
--- a/lagoonlever/tests/suspect_gathering_tests.py
+++ b/lagoonlever/tests/suspect_gathering_tests.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from lagoonlever.decisions.engines.crash_ends import (
+from lagoonlever.decisions.engines.target_crashes import (
     WEIGHT_STARTED,
     WEIGHT_QUEUED,
     Crash,
