--- a/lagoonlever/decisions/engines/crash_causes.py
+++ b/lagoonlever/decisions/engines/crash_causes.py
@@ -12,7 +12,7 @@
 
 from lagoonlever.decisions.engines.target_crashes import Crash, CrashesByRequest
 
-MOST_ENDED = 3.0
+BLOCKING_WEIGHT = 3.0
 """Targets that may end under a request: one is an accident, two may be one."""
 EXPLAINED = 0.5
 """What an end weighs less where a barred request was at the target, too. Two causes may have met
@@ -30,7 +30,9 @@
     most ends instead, a request that is barred, and so ends nothing any more, would be
     taken for one that followed another.
     """
-    enough = [fingerprint for fingerprint in ends if weight_of(ends[fingerprint]) >= MOST_ENDED]
+    enough = [
+        fingerprint for fingerprint in ends if weight_of(ends[fingerprint]) >= BLOCKING_WEIGHT
+    ]
     shared = _shared(enough, ends)
     seen: dict[str, dict[str, Crash]] = {fingerprint: {} for fingerprint in enough}
     causes: set[str] = set()
@@ -39,7 +41,7 @@
     for _, fingerprint, process in in_order:
         seen[fingerprint][process] = ends[fingerprint][process]
         weight = weight_of(seen[fingerprint], explained, shared[fingerprint])
-        if fingerprint not in causes and weight >= MOST_ENDED:
+        if fingerprint not in causes and weight >= BLOCKING_WEIGHT:
             causes.add(fingerprint)
             explained.update(ends[fingerprint])
     return frozenset(causes)
--- a/lagoonlever/decisions/engines/crash_suspects.py
+++ b/lagoonlever/decisions/engines/crash_suspects.py
@@ -25,7 +25,7 @@
 
 import attrs
 
-from lagoonlever.decisions.engines.crash_causes import MOST_ENDED, causes_of, weight_of
+from lagoonlever.decisions.engines.crash_causes import BLOCKING_WEIGHT, causes_of, weight_of
 from lagoonlever.decisions.engines.target_crashes import (
     WEIGHT_STARTED,
     LATE_NEWS_S,
@@ -162,7 +162,7 @@
         """Tell whether one more end bars a request, at the most that an end counts."""
         if fingerprint in self._barred:
             return False
-        return weight_of(self._ends.get(fingerprint, {})) >= MOST_ENDED - WEIGHT_STARTED
+        return weight_of(self._ends.get(fingerprint, {})) >= BLOCKING_WEIGHT - WEIGHT_STARTED
 
     def kept(self) -> CrashesByRequest:
         """Give the requests that are to outlive this VM."""
@@ -226,7 +226,7 @@
 
     def _importance(self, fingerprint: str) -> tuple[float, float]:
         processes = self._ends[fingerprint]
-        return min(MOST_ENDED, weight_of(processes)), _last_at(processes)
+        return min(BLOCKING_WEIGHT, weight_of(processes)), _last_at(processes)
 
 
 def _remember(known: dict[str, T], fingerprint: str, value: T, *, most: int) -> None:
