--- a/lagoonlever/decisions/engines/fingerprints.py
+++ b/lagoonlever/decisions/engines/fingerprints.py
@@ -11,7 +11,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class RequestWork:
+class RequestIdentity:
     """What a target is asked to do, and for whom; nothing that differs between returns."""
 
     host: str
--- a/lagoonlever/entry/engines/crashes.py
+++ b/lagoonlever/entry/engines/crashes.py
@@ -13,7 +13,7 @@
 
 from lagoonlever.decisions.engines.target_crashes import WEIGHT_STARTED, Crash, process_name
 from lagoonlever.decisions.engines.crash_suspects import CrashSuspects
-from lagoonlever.decisions.engines.fingerprints import RequestWork
+from lagoonlever.decisions.engines.fingerprints import RequestIdentity
 from lagoonlever.decisions.engines.suspect_gathering import gathering_engine
 from lagoonlever.decisions.membership.membership import MemberView
 from lagoonlever.decisions.streams.generation_messages import GenerationSpec
@@ -146,7 +146,7 @@
 
 def _fingerprint(spec: GenerationSpec) -> str:
     prompt = spec.prompt if isinstance(spec.prompt, str) else repr(spec.prompt)
-    work = RequestWork(
+    work = RequestIdentity(
         host="",
         method="POST",
         target=spec.model,
--- a/lagoonlever/gateway/accepted.py
+++ b/lagoonlever/gateway/accepted.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from lagoonlever.decisions.engines.fingerprints import RequestWork
+from lagoonlever.decisions.engines.fingerprints import RequestIdentity
 from lagoonlever.decisions.settings.configuration import ServiceRoute
 from lagoonlever.gateway.messages import CallerHead
 from lagoonlever.http.messages import Request
@@ -45,7 +45,7 @@
     @functools.cached_property
     def fingerprint(self) -> str:
         """What the request has in common with those of its caller's returns, on every VM."""
-        work = RequestWork(
+        work = RequestIdentity(
             host=self.caller.host,
             method=self.request.method,
             target=self.request.target,
--- a/lagoonlever/tests/fingerprints_tests.py
+++ b/lagoonlever/tests/fingerprints_tests.py
@@ -5,9 +5,9 @@
 import attrs
 import pytest
 
-from lagoonlever.decisions.engines.fingerprints import RequestWork
+from lagoonlever.decisions.engines.fingerprints import RequestIdentity
 
-WORK = RequestWork(
+WORK = RequestIdentity(
     host="shop.example",
     method="POST",
     target="/stream/1?a=1",
