--- a/lagoonlever/decisions/engines/suspect_gathering.py
+++ b/lagoonlever/decisions/engines/suspect_gathering.py
@@ -13,7 +13,7 @@
 from lagoonlever.decisions.fleet.rendezvous import ranked
 
 
-def gathering_engine(
+def choose_suspect_engine(
     fingerprint: str, processes: Mapping[str, str], *, ended: Container[str]
 ) -> str | None:
     """Give the engine for all returns of a request, or None if there is none.
--- a/lagoonlever/entry/engines/crashes.py
+++ b/lagoonlever/entry/engines/crashes.py
@@ -14,7 +14,7 @@
 from lagoonlever.decisions.engines.target_crashes import WEIGHT_STARTED, Crash, process_name
 from lagoonlever.decisions.engines.crash_suspects import CrashSuspects
 from lagoonlever.decisions.engines.fingerprints import RequestIdentity
-from lagoonlever.decisions.engines.suspect_gathering import gathering_engine
+from lagoonlever.decisions.engines.suspect_gathering import choose_suspect_engine
 from lagoonlever.decisions.membership.membership import MemberView
 from lagoonlever.decisions.streams.generation_messages import GenerationSpec
 from lagoonlever.decisions.targets.targets import Target
@@ -100,7 +100,7 @@
         if not self._suspects.is_next_to_last(fingerprint):
             return None
         processes = {engine.name: process_name(engine.name, None) for engine in engines}
-        return gathering_engine(fingerprint, processes, ended=self._suspects.ends[fingerprint])
+        return choose_suspect_engine(fingerprint, processes, ended=self._suspects.ends[fingerprint])
 
     async def look(self, spec: GenerationSpec, target: Target, *, sent_at: float) -> None:
         """Note that an engine ended under a request that got no token of it, if it has ended."""
--- a/lagoonlever/gateway/crash_watch.py
+++ b/lagoonlever/gateway/crash_watch.py
@@ -17,7 +17,7 @@
 
 from lagoonlever.decisions.engines.target_crashes import WEIGHT_STARTED, Crash, process_name
 from lagoonlever.decisions.engines.crash_suspects import CrashSuspects
-from lagoonlever.decisions.engines.suspect_gathering import gathering_engine
+from lagoonlever.decisions.engines.suspect_gathering import choose_suspect_engine
 from lagoonlever.decisions.fleet.roles import Roles
 from lagoonlever.decisions.targets.listed_target import ListedTarget
 from lagoonlever.gateway import events, metrics
@@ -140,7 +140,7 @@
             for engine in self._beliefs.targets.serving(accepted.service)
             if engine.id not in avoid and not avoidance.is_avoided(engine.id, now)
         }
-        return gathering_engine(fingerprint, able, ended=self._suspects.ends[fingerprint])
+        return choose_suspect_engine(fingerprint, able, ended=self._suspects.ends[fingerprint])
 
     @contextlib.contextmanager
     def until_barred(self, accepted: Accepted, *, leaves: str | None = None) -> Iterator[None]:
--- a/lagoonlever/tests/suspect_gathering_tests.py
+++ b/lagoonlever/tests/suspect_gathering_tests.py
@@ -9,7 +9,7 @@
     process_name,
 )
 from lagoonlever.decisions.engines.crash_suspects import CrashSuspects
-from lagoonlever.decisions.engines.suspect_gathering import gathering_engine
+from lagoonlever.decisions.engines.suspect_gathering import choose_suspect_engine
 
 NAMES = tuple(f"engine-{number}" for number in range(12))
 PROCESSES = {name: process_name(name, 1) for name in NAMES}
@@ -25,30 +25,32 @@
 
 def test_every_order_of_the_list_gives_the_same_engine() -> None:
     backward = dict(reversed(PROCESSES.items()))
-    assert gathering_engine("f", backward, ended=()) == gathering_engine("f", PROCESSES, ended=())
+    assert choose_suspect_engine("f", backward, ended=()) == choose_suspect_engine(
+        "f", PROCESSES, ended=()
+    )
 
 
 def test_an_engine_that_is_known_to_one_vm_only_changes_the_place_to_that_one_at_most() -> None:
     """Guards against lists that differ for a moment and send each return elsewhere."""
-    found = gathering_engine("f", PROCESSES, ended=())
+    found = choose_suspect_engine("f", PROCESSES, ended=())
     for number in range(50):
         newcomer = f"new-{number}"
         wider = {**PROCESSES, newcomer: process_name(newcomer, 1)}
-        assert gathering_engine("f", wider, ended=()) in (found, newcomer)
+        assert choose_suspect_engine("f", wider, ended=()) in (found, newcomer)
 
 
 def test_requests_are_not_all_brought_to_one_engine() -> None:
-    found = {gathering_engine(f"f-{number}", PROCESSES, ended=()) for number in range(100)}
+    found = {choose_suspect_engine(f"f-{number}", PROCESSES, ended=()) for number in range(100)}
     assert found == set(NAMES)
 
 
 def test_a_process_that_has_ended_under_the_request_is_passed_over() -> None:
     """Guards against VMs whose list still has the engine of the last end."""
-    found = gathering_engine("f", PROCESSES, ended=())
+    found = choose_suspect_engine("f", PROCESSES, ended=())
     assert found is not None
-    assert gathering_engine("f", PROCESSES, ended={process_name(found, 1)}) != found
-    assert gathering_engine("f", PROCESSES, ended={process_name(found, 0)}) == found
-    assert gathering_engine("f", PROCESSES, ended=set(PROCESSES.values())) is None
+    assert choose_suspect_engine("f", PROCESSES, ended={process_name(found, 1)}) != found
+    assert choose_suspect_engine("f", PROCESSES, ended={process_name(found, 0)}) == found
+    assert choose_suspect_engine("f", PROCESSES, ended=set(PROCESSES.values())) is None
 
 
 def test_a_request_is_gathered_from_the_second_end_to_the_third() -> None:
