--- a/lagoonlever/bench/stream_day_model.py
+++ b/lagoonlever/bench/stream_day_model.py
@@ -272,7 +272,7 @@
             part=stream.request,
             copy=copy,
         )
-        self._book.begin(booked, now)
+        self._book.record_dispatch(booked, now)
         engine.take(run)
         self._wake(engine, now)
 
--- a/lagoonlever/decisions/engines/engine_scheduler.py
+++ b/lagoonlever/decisions/engines/engine_scheduler.py
@@ -290,7 +290,7 @@
         """
         self._records.reserve(run, now)
 
-    def begin(self, run: BookedRun, now: float) -> None:
+    def record_dispatch(self, run: BookedRun, now: float) -> None:
         """Book a run; one that goes on elsewhere replaces what was booked before."""
         self._reading.given(run.service, tokens=run.prompt_tokens, now=now)
         self._records.enter(run, now)
--- a/lagoonlever/gateway/peers.py
+++ b/lagoonlever/gateway/peers.py
@@ -226,7 +226,7 @@
             window = self._budgets.of_runs(engine.service)
             count = window.repeat if book.knows(run.request) else window.request
             count(now)
-        book.begin(run, now)
+        book.record_dispatch(run, now)
 
     def _take_engine_lost(self, lost: EngineLost, source: str) -> None:
         self._beliefs.book.avoidance.failed(lost.engine, self._timers.now)
--- a/lagoonlever/tests/copy_room_tests.py
+++ b/lagoonlever/tests/copy_room_tests.py
@@ -43,7 +43,7 @@
             memory_tokens=MEMORY,
             service="s",
         )
-        book.begin(attrs.evolve(run, flowing=True), 0.0)
+        book.record_dispatch(attrs.evolve(run, flowing=True), 0.0)
     return book
 
 
--- a/lagoonlever/tests/engine_book_tests.py
+++ b/lagoonlever/tests/engine_book_tests.py
@@ -51,16 +51,16 @@
 
 def test_a_run_goes_where_no_prompt_is_being_read() -> None:
     on = book()
-    on.begin(run("r1", "e1"), 0.0)
-    on.begin(run("r2", "e2"), 0.0)
+    on.record_dispatch(run("r1", "e1"), 0.0)
+    on.record_dispatch(run("r2", "e2"), 0.0)
     assert placed(on) == "e3"
 
 
 def test_a_prompt_counts_until_its_run_flows() -> None:
     on = book()
-    on.begin(run("r1", "e1"), 0.0)
-    on.begin(run("r2", "e2"), 0.0)
-    on.begin(run("r3", "e3"), 0.0)
+    on.record_dispatch(run("r1", "e1"), 0.0)
+    on.record_dispatch(run("r2", "e2"), 0.0)
+    on.record_dispatch(run("r3", "e3"), 0.0)
     on.flows("r2", 0.5)
     assert placed(on) == "e2"
 
@@ -68,7 +68,7 @@
 def test_a_run_expects_to_wait_for_the_prompts_before_it() -> None:
     on = book()
     for name in ("e1", "e2", "e3"):
-        on.begin(run(f"r-{name}", name), 0.0)
+        on.record_dispatch(run(f"r-{name}", name), 0.0)
     placement = on.place(
         ENGINES, limits=LIMITS, prompt_tokens=PROMPT, memory_tokens=MEMORY, now=0.0
     )
@@ -80,16 +80,16 @@
     on = book()
     for number in range(9):
         copy = RunCopy(holder="e1", address=ENGINES[0].address, name=f"c{number}")
-        on.begin(run(f"r{number}", "e2", copy=copy, flowing=True), 0.0)
-    on.begin(run("s1", "e3"), 0.0)
+        on.record_dispatch(run(f"r{number}", "e2", copy=copy, flowing=True), 0.0)
+    on.record_dispatch(run("s1", "e3"), 0.0)
     assert placed(on) == "e3"
 
 
 def test_the_engine_that_has_read_a_prompt_is_preferred_until_it_is_busier() -> None:
     on = book()
     assert placed(on, prefer="e2") == "e2"
-    on.begin(run("r1", "e2"), 0.0)
-    on.begin(run("r2", "e2"), 0.0)
+    on.record_dispatch(run("r1", "e2"), 0.0)
+    on.record_dispatch(run("r2", "e2"), 0.0)
     assert placed(on, prefer="e2") != "e2"
 
 
@@ -97,7 +97,7 @@
     """All engines of a data centre die together; a copy beside its run dies with it."""
     on = book()
     beside = [engine("e1", "a"), engine("e1b", "a"), engine("e2", "b")]
-    on.begin(run("r1", "e2"), 0.0)
+    on.record_dispatch(run("r1", "e2"), 0.0)
     holder = on.place_copy(beside, limits=LIMITS, beside=beside[0], memory_tokens=MEMORY, now=0.0)
     assert holder is not None and holder.id == "e2"
 
@@ -127,7 +127,7 @@
     for own in ("ra", "rb", "rc"):
         on = book()
         for offset, request in enumerate(("ra", "rb", "rc")):
-            on.begin(run(request, "e1", vm=f"vm-{request}"), 0.002 * offset)
+            on.record_dispatch(run(request, "e1", vm=f"vm-{request}"), 0.002 * offset)
         if not on.has_better(own, ENGINES, limits=LIMITS, now=0.03):
             stays.append(own)
     assert stays == ["ra"]
@@ -136,15 +136,15 @@
 def test_a_run_stays_where_nothing_else_is_better() -> None:
     on = book()
     for name in ("e1", "e2", "e3"):
-        on.begin(run(f"a-{name}", name), 0.0)
-        on.begin(run(f"b-{name}", name), 0.0)
+        on.record_dispatch(run(f"a-{name}", name), 0.0)
+        on.record_dispatch(run(f"b-{name}", name), 0.0)
     assert not on.has_better("b-e1", ENGINES, limits=LIMITS, now=0.03)
 
 
 def test_a_caller_that_returns_is_known_by_its_prompt_s_own_part() -> None:
     on = book()
     copy = RunCopy(holder="e2", address=ENGINES[1].address, name="r1")
-    on.begin(run("r1", "e1", part="p1", copy=copy), 0.0)
+    on.record_dispatch(run("r1", "e1", part="p1", copy=copy), 0.0)
     on.flows("r1", 0.5)
     on.vm_lost("vm-1", 1.0)
     former = on.last_run_of("p1")
@@ -153,23 +153,23 @@
 
 def test_a_run_that_ended_whole_is_no_reason_to_go_anywhere() -> None:
     on = book()
-    on.begin(run("r1", "e1", part="p1"), 0.0)
+    on.record_dispatch(run("r1", "e1", part="p1"), 0.0)
     on.end("r1", 1.0, whole=True)
     assert on.last_run_of("p1") is None
 
 
 def test_the_runs_of_a_lost_vm_no_longer_count_as_load() -> None:
     on = book()
-    on.begin(run("r1", "e1", vm="vm-2"), 0.0)
-    on.begin(run("r2", "e2", vm="vm-3"), 0.0)
-    on.begin(run("r3", "e3", vm="vm-3"), 0.0)
+    on.record_dispatch(run("r1", "e1", vm="vm-2"), 0.0)
+    on.record_dispatch(run("r2", "e2", vm="vm-3"), 0.0)
+    on.record_dispatch(run("r3", "e3", vm="vm-3"), 0.0)
     on.vm_lost("vm-2", 0.1)
     assert placed(on, now=0.1) == "e1"
 
 
 def test_what_ended_long_ago_is_forgotten() -> None:
     on = book()
-    on.begin(run("r1", "e1", part="p1"), 0.0)
+    on.record_dispatch(run("r1", "e1", part="p1"), 0.0)
     on.end("r1", 1.0, whole=False)
     on.expire(100.0)
     assert on.last_run_of("p1") is None
@@ -186,7 +186,7 @@
 def test_a_copy_that_was_only_refreshed_is_no_news() -> None:
     """A run's copy is refreshed every 1.6 s, and every VM was told each time, nothing new."""
     on = book()
-    on.begin(run("r1", "e1"), 0.0)
+    on.record_dispatch(run("r1", "e1"), 0.0)
     copy = RunCopy(holder="e2", address=ENGINES[0].address, name="h1")
     assert on.copied("r1", copy)
     assert not on.copied("r1", copy)
@@ -202,9 +202,9 @@
     """
     on = book()
     copy = RunCopy(holder="e1", address=ENGINES[0].address, name="r2", holder_started_ms=100)
-    on.begin(run("r1", "e1", engine_started_ms=100, part="p1"), 0.0)
-    on.begin(run("r2", "e2", copy=copy), 0.0)
-    on.begin(run("r3", "e1", engine_started_ms=200), 0.5)
+    on.record_dispatch(run("r1", "e1", engine_started_ms=100, part="p1"), 0.0)
+    on.record_dispatch(run("r2", "e2", copy=copy), 0.0)
+    on.record_dispatch(run("r3", "e1", engine_started_ms=200), 0.5)
     on.avoidance.failed("e1", 0.4)
     on.started_again("e1", 200, 0.6)
     assert not on.avoidance.is_avoided("e1", 0.6)
--- a/lagoonlever/tests/prompt_admission_tests.py
+++ b/lagoonlever/tests/prompt_admission_tests.py
@@ -54,7 +54,7 @@
     on = book()
     on.paces = seen(times=2.0)
     for number in range(24):
-        on.begin(run(f"r{number}", f"e{number % 6}"), 10.0 + 0.25 * number)
+        on.record_dispatch(run(f"r{number}", f"e{number % 6}"), 10.0 + 0.25 * number)
     load = on.reading_load(SERVICE, engines=6, now=16.0)
     assert load.prompts == 24
     assert load.share == pytest.approx(24 * 2.0 / (WINDOW_S * 6), rel=0.05)
@@ -81,7 +81,7 @@
     on = book()
     on.paces = seen(times=1.0)
     for number in range(24):
-        on.begin(run(f"r{number}", f"e{number % 6}"), 10.0 + 0.25 * number)
+        on.record_dispatch(run(f"r{number}", f"e{number % 6}"), 10.0 + 0.25 * number)
     before = on.reading_load(SERVICE, engines=6, now=16.0)
     assert on.reading_load(SERVICE, engines=4, now=16.1).share == before.share
     assert on.reading_load(SERVICE, engines=4, now=16.1 + WINDOW_S).prompts == 0
--- a/lagoonlever/tests/run_placement_tests.py
+++ b/lagoonlever/tests/run_placement_tests.py
@@ -81,7 +81,9 @@
         run = reserved_run(attrs.evolve(ASK, request=f"r-{name}"), Placed(engine=name), vm="vm-1")
         seen.book.reserve(run, 0.0)
     for name in ("e2", "e3"):
-        seen.book.begin(booked(attrs.evolve(ASK, request=f"s-{name}"), Placed(engine=name)), 0.1)
+        seen.book.record_dispatch(
+            booked(attrs.evolve(ASK, request=f"s-{name}"), Placed(engine=name)), 0.1
+        )
     seen.book.expire(RESERVED_S + 0.1)
     outcome = place_run(ASK, seen, RESERVED_S + 0.1)
     assert isinstance(outcome, Placed) and outcome.engine == "e1"
@@ -98,7 +100,7 @@
     assert not book.knows("r1")
     assert book.open_runs == ()
     assert book.last_run_of("p1") is None
-    book.begin(booked(ASK, placed), 0.01)
+    book.record_dispatch(booked(ASK, placed), 0.01)
     assert book.knows("r1")
     book.reserve(reserved_run(ASK, Placed(engine="e2"), vm="vm-1"), 0.5)
     assert book.knows("r1")
@@ -109,7 +111,7 @@
     book = view().book
     before = book.paces.reading_s("engines", "e1", 5_000, 1.0)
     book.reserve(reserved_run(ASK, Placed(engine="e1"), vm="vm-1"), 0.0)
-    book.begin(booked(ASK, Placed(engine="e1")), 0.0)
+    book.record_dispatch(booked(ASK, Placed(engine="e1")), 0.0)
     book.flows("r1", 3.0)
     assert book.paces.reading_s("engines", "e1", 5_000, 3.0) > before
 
@@ -169,7 +171,7 @@
     book = seen.book
     for number in range(4 * LEAST_PROMPTS):
         ask = attrs.evolve(ASK, request=f"r-{number}", part=None)
-        book.begin(booked(ask, Placed(engine="e1")), 0.1 * number)
+        book.record_dispatch(booked(ask, Placed(engine="e1")), 0.1 * number)
         book.flows(ask.request, 0.1 * number + 1.0)
         book.end(ask.request, 0.1 * number + 2.0, whole=True, token_s=0.004, tokens=1_000)
     now = 0.1 * 4 * LEAST_PROMPTS
--- a/lagoonlever/tests/uneven_engines_tests.py
+++ b/lagoonlever/tests/uneven_engines_tests.py
@@ -258,11 +258,11 @@
     book = told_book(e1=1.0, e2=1.0, e3=1.0)
     for engine, pace in (("e1", SLOW), ("e2", FAST), ("e3", FAST)):
         shows(book, engine, pace)
-    book.begin(run_at("e1"), 0.0)
+    book.record_dispatch(run_at("e1"), 0.0)
     assert book.has_better("r", THREE, limits=LIMITS, now=0.03)
-    book.begin(run_at("e2"), 0.0)
+    book.record_dispatch(run_at("e2"), 0.0)
     assert not book.has_better("r", THREE, limits=LIMITS, now=0.03)
-    book.begin(run_at("e1"), 0.0)
+    book.record_dispatch(run_at("e1"), 0.0)
     book.flows("r", 0.02)
     assert not book.has_better("r", THREE, limits=LIMITS, now=0.03)
 
@@ -282,7 +282,7 @@
     book = told_book(e1=1.0, e2=2.5)
     shows(book, "e1", SLOW)
     shows(book, "e2", FAST)
-    book.begin(attrs.evolve(run_at("e2"), request="flowing"), 0.0)
+    book.record_dispatch(attrs.evolve(run_at("e2"), request="flowing"), 0.0)
     book.flows("flowing", 0.0)
     placement = book.place(
         THREE[:2], limits=LIMITS, prompt_tokens=PROMPT, memory_tokens=MEMORY, now=0.3
