--- a/lagoonlever/decisions/engines/engine_scheduler.py
+++ b/lagoonlever/decisions/engines/engine_scheduler.py
@@ -295,7 +295,7 @@
         self._reading.given(run.service, tokens=run.prompt_tokens, now=now)
         self._records.enter(run, now)
 
-    def learn(self, run: BookedRun, now: float) -> None:
+    def record_reported_run(self, run: BookedRun, now: float) -> None:
         """Book a run that another VM tells of, unless its own VM has told more since.
 
         It began before, so it is no prompt that engines are given now.
--- a/lagoonlever/gateway/peers.py
+++ b/lagoonlever/gateway/peers.py
@@ -148,7 +148,7 @@
     async def _receive_lists(self) -> None:
         async for received in self._bus.subscribe(RunList):
             for run in received.message.runs:
-                self._beliefs.book.learn(run, self._timers.now)
+                self._beliefs.book.record_reported_run(run, self._timers.now)
 
     async def _receive_book_asks(self) -> None:
         async for received in self._bus.subscribe(BookAsk):
--- a/lagoonlever/tests/prompt_admission_tests.py
+++ b/lagoonlever/tests/prompt_admission_tests.py
@@ -69,7 +69,7 @@
     on = book()
     on.paces = seen(times=2.0)
     for number in range(24):
-        on.learn(run(f"r{number}", f"e{number % 6}"), 10.0)
+        on.record_reported_run(run(f"r{number}", f"e{number % 6}"), 10.0)
     assert on.reading_load(SERVICE, engines=6, now=10.1).prompts == 0
 
 
