--- a/lagoonlever/bench/stream_day_model.py
+++ b/lagoonlever/bench/stream_day_model.py
@@ -320,7 +320,7 @@
 
     def _first_event(self, stream: ModelStream, run: ModelRun, at: float) -> None:
         stream.life.flows()
-        self._book.flows(stream.request, at)
+        self._book.record_first_event(stream.request, at)
         self._hold_copy(stream, run)
 
     def _hold_copy(self, stream: ModelStream, run: ModelRun) -> None:
--- a/lagoonlever/decisions/engines/engine_scheduler.py
+++ b/lagoonlever/decisions/engines/engine_scheduler.py
@@ -314,7 +314,7 @@
         record.run = attrs.evolve(record.run, copy=copy)
         return True
 
-    def flows(self, request: str, now: float) -> None:
+    def record_first_event(self, request: str, now: float) -> None:
         """Note that a run has given its first event: its prompt is read."""
         record = self._records.find(request)
         if record is None or record.run.flowing:
--- a/lagoonlever/gateway/peers.py
+++ b/lagoonlever/gateway/peers.py
@@ -109,7 +109,7 @@
         as a stream begins there, by messages that pass anyway.
         """
         now = self._timers.now
-        self._beliefs.book.flows(request, now)
+        self._beliefs.book.record_first_event(request, now)
         run = self._beliefs.book.run_of(request)
         word = self._beliefs.loads.word(run.engine) if run is not None else None
         self._relay.tell(RunFlows(request=request, load=EngineWord.of(word, now)))
@@ -191,7 +191,7 @@
         elif book.vm_of(change.request) == self._vm:
             return
         elif isinstance(change, RunFlows):
-            book.flows(change.request, self._timers.now)
+            book.record_first_event(change.request, self._timers.now)
             self._take_load(change)
         elif isinstance(change, RunCopied):
             book.copied(change.request, change.copy)
--- a/lagoonlever/tests/engine_book_tests.py
+++ b/lagoonlever/tests/engine_book_tests.py
@@ -61,7 +61,7 @@
     on.record_dispatch(run("r1", "e1"), 0.0)
     on.record_dispatch(run("r2", "e2"), 0.0)
     on.record_dispatch(run("r3", "e3"), 0.0)
-    on.flows("r2", 0.5)
+    on.record_first_event("r2", 0.5)
     assert placed(on) == "e2"
 
 
@@ -145,7 +145,7 @@
     on = book()
     copy = RunCopy(holder="e2", address=ENGINES[1].address, name="r1")
     on.record_dispatch(run("r1", "e1", part="p1", copy=copy), 0.0)
-    on.flows("r1", 0.5)
+    on.record_first_event("r1", 0.5)
     on.vm_lost("vm-1", 1.0)
     former = on.last_run_of("p1")
     assert former is not None and former.copy == copy and former.flowing
--- a/lagoonlever/tests/engine_paces_tests.py
+++ b/lagoonlever/tests/engine_paces_tests.py
@@ -118,7 +118,7 @@
     on = book()
     for number in range(5):
         on.record_dispatch(attrs.evolve(run(f"r{number}"), vm=f"vm-{number}"), 10.0 * number)
-        on.flows(f"r{number}", 10.0 * number + 2.0)
+        on.record_first_event(f"r{number}", 10.0 * number + 2.0)
         on.end(f"r{number}", 10.0 * number + 9.0, whole=True, token_s=0.009)
     assert on.paces.usual_reading_s(SERVICE) == pytest.approx(2.0, rel=0.05)
     assert on.paces.reading_s(SERVICE, "e9", PROMPT, 50.0) == pytest.approx(2.0, rel=0.05)
@@ -129,8 +129,8 @@
     on = book()
     on.record_dispatch(run("r1"), 0.0)
     on.record_dispatch(run("r2"), 0.1)
-    on.flows("r1", 1.0)
-    on.flows("r2", 2.0)
+    on.record_first_event("r1", 1.0)
+    on.record_first_event("r2", 2.0)
     assert on.paces.reading_s(SERVICE, "e1", PROMPT, 3.0) == PROMPT * PRIOR_PROMPT_TOKEN_S
 
 
@@ -145,10 +145,10 @@
     on.record_dispatch(run("r1", "e1"), 10.0)
     for number in range(4):
         on.record_dispatch(run(f"f{number}", "e2"), 5.0)
-        on.flows(f"f{number}", 5.1)
+        on.record_first_event(f"f{number}", 5.1)
     for number in range(2):
         on.record_dispatch(run(f"g{number}", "e3"), 5.0)
-        on.flows(f"g{number}", 5.1)
+        on.record_first_event(f"g{number}", 5.1)
     limits = attrs.evolve(LIMITS, memory_tokens=200_000)
     placement = on.place(
         ENGINES, limits=limits, prompt_tokens=PROMPT, memory_tokens=9_000, now=10.0
--- a/lagoonlever/tests/run_placement_tests.py
+++ b/lagoonlever/tests/run_placement_tests.py
@@ -112,7 +112,7 @@
     before = book.paces.reading_s("engines", "e1", 5_000, 1.0)
     book.reserve(reserved_run(ASK, Placed(engine="e1"), vm="vm-1"), 0.0)
     book.record_dispatch(booked(ASK, Placed(engine="e1")), 0.0)
-    book.flows("r1", 3.0)
+    book.record_first_event("r1", 3.0)
     assert book.paces.reading_s("engines", "e1", 5_000, 3.0) > before
 
 
@@ -172,7 +172,7 @@
     for number in range(4 * LEAST_PROMPTS):
         ask = attrs.evolve(ASK, request=f"r-{number}", part=None)
         book.record_dispatch(booked(ask, Placed(engine="e1")), 0.1 * number)
-        book.flows(ask.request, 0.1 * number + 1.0)
+        book.record_first_event(ask.request, 0.1 * number + 1.0)
         book.end(ask.request, 0.1 * number + 2.0, whole=True, token_s=0.004, tokens=1_000)
     now = 0.1 * 4 * LEAST_PROMPTS
     assert isinstance(place_run(attrs.evolve(ASK, allowed_s=25.0), seen, now), Overloaded)
--- a/lagoonlever/tests/uneven_engines_tests.py
+++ b/lagoonlever/tests/uneven_engines_tests.py
@@ -263,7 +263,7 @@
     book.record_dispatch(run_at("e2"), 0.0)
     assert not book.has_better("r", THREE, limits=LIMITS, now=0.03)
     book.record_dispatch(run_at("e1"), 0.0)
-    book.flows("r", 0.02)
+    book.record_first_event("r", 0.02)
     assert not book.has_better("r", THREE, limits=LIMITS, now=0.03)
 
 
@@ -283,7 +283,7 @@
     shows(book, "e1", SLOW)
     shows(book, "e2", FAST)
     book.record_dispatch(attrs.evolve(run_at("e2"), request="flowing"), 0.0)
-    book.flows("flowing", 0.0)
+    book.record_first_event("flowing", 0.0)
     placement = book.place(
         THREE[:2], limits=LIMITS, prompt_tokens=PROMPT, memory_tokens=MEMORY, now=0.3
     )
