--- a/lagoonlever/bench/stream_day_model.py
+++ b/lagoonlever/bench/stream_day_model.py
@@ -309,7 +309,7 @@
             self._leave(stream, at)
             event_s = stream.life.pace.event_s()
             token_s = None if event_s is None else event_s / stream.event_tokens
-            self._book.end(
+            self._book.record_end(
                 stream.request,
                 at,
                 whole=True,
--- a/lagoonlever/decisions/engines/engine_scheduler.py
+++ b/lagoonlever/decisions/engines/engine_scheduler.py
@@ -328,7 +328,7 @@
                 run.service, run.engine, tokens=run.prompt_tokens, seconds=seconds, now=now
             )
 
-    def end(
+    def record_end(
         self,
         request: str,
         now: float,
--- a/lagoonlever/gateway/peers.py
+++ b/lagoonlever/gateway/peers.py
@@ -209,7 +209,7 @@
         self._beliefs.loads.passed_on(change.load.word(run, self._timers.now))
 
     def _end(self, ended: RunEnded) -> None:
-        self._beliefs.book.end(
+        self._beliefs.book.record_end(
             ended.request,
             self._timers.now,
             whole=ended.whole,
--- a/lagoonlever/tests/engine_book_tests.py
+++ b/lagoonlever/tests/engine_book_tests.py
@@ -154,7 +154,7 @@
 def test_a_run_that_ended_whole_is_no_reason_to_go_anywhere() -> None:
     on = book()
     on.record_dispatch(run("r1", "e1", part="p1"), 0.0)
-    on.end("r1", 1.0, whole=True)
+    on.record_end("r1", 1.0, whole=True)
     assert on.last_run_of("p1") is None
 
 
@@ -170,7 +170,7 @@
 def test_what_ended_long_ago_is_forgotten() -> None:
     on = book()
     on.record_dispatch(run("r1", "e1", part="p1"), 0.0)
-    on.end("r1", 1.0, whole=False)
+    on.record_end("r1", 1.0, whole=False)
     on.expire(100.0)
     assert on.last_run_of("p1") is None
 
--- a/lagoonlever/tests/engine_paces_tests.py
+++ b/lagoonlever/tests/engine_paces_tests.py
@@ -119,7 +119,7 @@
     for number in range(5):
         on.record_dispatch(attrs.evolve(run(f"r{number}"), vm=f"vm-{number}"), 10.0 * number)
         on.record_first_event(f"r{number}", 10.0 * number + 2.0)
-        on.end(f"r{number}", 10.0 * number + 9.0, whole=True, token_s=0.009)
+        on.record_end(f"r{number}", 10.0 * number + 9.0, whole=True, token_s=0.009)
     assert on.paces.usual_reading_s(SERVICE) == pytest.approx(2.0, rel=0.05)
     assert on.paces.reading_s(SERVICE, "e9", PROMPT, 50.0) == pytest.approx(2.0, rel=0.05)
     assert on.paces.fastest(SERVICE).token_s == pytest.approx(0.7 * 0.009, rel=0.05)
--- a/lagoonlever/tests/run_placement_tests.py
+++ b/lagoonlever/tests/run_placement_tests.py
@@ -173,7 +173,7 @@
         ask = attrs.evolve(ASK, request=f"r-{number}", part=None)
         book.record_dispatch(booked(ask, Placed(engine="e1")), 0.1 * number)
         book.record_first_event(ask.request, 0.1 * number + 1.0)
-        book.end(ask.request, 0.1 * number + 2.0, whole=True, token_s=0.004, tokens=1_000)
+        book.record_end(ask.request, 0.1 * number + 2.0, whole=True, token_s=0.004, tokens=1_000)
     now = 0.1 * 4 * LEAST_PROMPTS
     assert isinstance(place_run(attrs.evolve(ASK, allowed_s=25.0), seen, now), Overloaded)
     assert isinstance(place_run(ASK, seen, now), Placed)
