--- a/lagoonlever/decisions/engines/engine_scheduler.py
+++ b/lagoonlever/decisions/engines/engine_scheduler.py
@@ -350,7 +350,7 @@
         if token_s is not None:
             self.paces.made(run.service, run.engine, token_s=token_s, slowdown=slowdown, now=now)
 
-    def vm_lost(self, vm: str, now: float) -> None:
+    def record_vm_loss(self, vm: str, now: float) -> None:
         """Note that a VM is gone: engines drop its runs as its connections close."""
         for record in self._records:
             if record.run.vm == vm and record.ended_at is None:
--- a/lagoonlever/gateway/peers.py
+++ b/lagoonlever/gateway/peers.py
@@ -87,7 +87,7 @@
 
     def vm_lost(self, name: str) -> None:
         """Let go of the runs of a VM that is gone."""
-        self._beliefs.book.vm_lost(name, self._timers.now)
+        self._beliefs.book.record_vm_loss(name, self._timers.now)
 
     def begin(self, run: BookedRun) -> None:
         """Book a run of this VM, and tell the others."""
--- a/lagoonlever/tests/engine_book_tests.py
+++ b/lagoonlever/tests/engine_book_tests.py
@@ -146,7 +146,7 @@
     copy = RunCopy(holder="e2", address=ENGINES[1].address, name="r1")
     on.record_dispatch(run("r1", "e1", part="p1", copy=copy), 0.0)
     on.record_first_event("r1", 0.5)
-    on.vm_lost("vm-1", 1.0)
+    on.record_vm_loss("vm-1", 1.0)
     former = on.last_run_of("p1")
     assert former is not None and former.copy == copy and former.flowing
 
@@ -163,7 +163,7 @@
     on.record_dispatch(run("r1", "e1", vm="vm-2"), 0.0)
     on.record_dispatch(run("r2", "e2", vm="vm-3"), 0.0)
     on.record_dispatch(run("r3", "e3", vm="vm-3"), 0.0)
-    on.vm_lost("vm-2", 0.1)
+    on.record_vm_loss("vm-2", 0.1)
     assert placed(on, now=0.1) == "e1"
 
 
