--- a/lagoonlever/decisions/engines/engine_scheduler.py
+++ b/lagoonlever/decisions/engines/engine_scheduler.py
@@ -262,7 +262,7 @@
         token_s = self.paces.reading_s(service, "", 1, now)
         return self._reading.load(service, engines=engines, token_s=token_s, now=now)
 
-    def knows(self, request: str) -> bool:
+    def is_dispatched(self, request: str) -> bool:
         """Tell whether a request has been sent to any engine, as far as heard."""
         record = self._records.find(request)
         return record is not None and record.sent
--- a/lagoonlever/gateway/peers.py
+++ b/lagoonlever/gateway/peers.py
@@ -224,7 +224,7 @@
         engine = self._beliefs.targets.find(run.engine)
         if engine is not None:
             window = self._budgets.of_runs(engine.service)
-            count = window.repeat if book.knows(run.request) else window.request
+            count = window.repeat if book.is_dispatched(run.request) else window.request
             count(now)
         book.record_dispatch(run, now)
 
--- a/lagoonlever/tests/run_placement_tests.py
+++ b/lagoonlever/tests/run_placement_tests.py
@@ -97,13 +97,13 @@
     book = view().book
     placed = Placed(engine="e1")
     book.reserve(reserved_run(ASK, placed, vm="vm-1"), 0.0)
-    assert not book.knows("r1")
+    assert not book.is_dispatched("r1")
     assert book.open_runs == ()
     assert book.last_run_of("p1") is None
     book.record_dispatch(booked(ASK, placed), 0.01)
-    assert book.knows("r1")
+    assert book.is_dispatched("r1")
     book.reserve(reserved_run(ASK, Placed(engine="e2"), vm="vm-1"), 0.5)
-    assert book.knows("r1")
+    assert book.is_dispatched("r1")
 
 
 def test_a_run_is_not_beside_the_place_that_was_kept_for_it() -> None:
