--- a/lagoonlever/decisions/engines/engine_scheduler.py
+++ b/lagoonlever/decisions/engines/engine_scheduler.py
@@ -267,7 +267,7 @@
         record = self._records.find(request)
         return record is not None and record.sent
 
-    def begun_after(self, request: str, at: float) -> bool:
+    def is_dispatched_after(self, request: str, at: float) -> bool:
         """Tell whether a request has been sent to an engine since a time."""
         record = self._records.find(request)
         return record is not None and record.sent and record.since > at
--- a/lagoonlever/gateway/room_desk.py
+++ b/lagoonlever/gateway/room_desk.py
@@ -176,7 +176,7 @@
         passed_by = 0
         for waiting in line.order(now, most_per_s=ready_rate(service, view, now)):
             asked = self._open[waiting.place].asked
-            if self._beliefs.book.begun_after(waiting.ask.request, waiting.asked):
+            if self._beliefs.book.is_dispatched_after(waiting.ask.request, waiting.asked):
                 self.left(waiting.place, service)
                 continue
             outcome = self._decide(asked.ask, line)
