--- a/lagoonlever/decisions/engines/engine_scheduler.py
+++ b/lagoonlever/decisions/engines/engine_scheduler.py
@@ -272,7 +272,7 @@
         record = self._records.find(request)
         return record is not None and record.sent and record.since > at
 
-    def vm_of(self, request: str) -> str | None:
+    def find_relay_vm(self, request: str) -> str | None:
         """Give the VM that relays a run, or None for one that is not known."""
         record = self._records.find(request)
         return record.run.vm if record is not None else None
--- a/lagoonlever/gateway/peers.py
+++ b/lagoonlever/gateway/peers.py
@@ -188,7 +188,7 @@
         elif isinstance(change, BookedRun):
             if change.vm != self._vm:
                 self._book(change)
-        elif book.vm_of(change.request) == self._vm:
+        elif book.find_relay_vm(change.request) == self._vm:
             return
         elif isinstance(change, RunFlows):
             book.record_first_event(change.request, self._timers.now)
