--- a/lagoonlever/decisions/engines/engine_scheduler.py
+++ b/lagoonlever/decisions/engines/engine_scheduler.py
@@ -277,7 +277,7 @@
         record = self._records.find(request)
         return record.run.vm if record is not None else None
 
-    def run_of(self, request: str) -> BookedRun | None:
+    def find_run(self, request: str) -> BookedRun | None:
         """Give the run of a request as last heard of, or None."""
         record = self._records.find(request)
         return record.run if record is not None else None
--- a/lagoonlever/gateway/peers.py
+++ b/lagoonlever/gateway/peers.py
@@ -110,7 +110,7 @@
         """
         now = self._timers.now
         self._beliefs.book.record_first_event(request, now)
-        run = self._beliefs.book.run_of(request)
+        run = self._beliefs.book.find_run(request)
         word = self._beliefs.loads.word(run.engine) if run is not None else None
         self._relay.tell(RunFlows(request=request, load=EngineWord.of(word, now)))
 
@@ -200,7 +200,7 @@
 
     def _take_load(self, change: RunFlows) -> None:
         """Take an engine's word that another VM passes on, unless it is of a former process."""
-        run = self._beliefs.book.run_of(change.request)
+        run = self._beliefs.book.find_run(change.request)
         if run is None or change.load is None:
             return
         engine = self._beliefs.targets.find(run.engine)
