--- a/lagoonlever/commands/barred.py
+++ b/lagoonlever/commands/barred.py
@@ -11,8 +11,8 @@
 
 from lagoonlever.commands.exit_codes import ExitCode
 from lagoonlever.commands.store_reads import read_store
-from lagoonlever.decisions.engines.target_crashes import Crash
 from lagoonlever.decisions.engines.crash_suspects import CrashSuspects
+from lagoonlever.decisions.engines.target_crashes import Crash
 from lagoonlever.gateway.crash_records import RECORD_KEY
 from lagoonlever.platform.store import MetadataStore
 
--- a/lagoonlever/decisions/engines/crash_suspects.py
+++ b/lagoonlever/decisions/engines/crash_suspects.py
@@ -27,8 +27,8 @@
 
 from lagoonlever.decisions.engines.crash_causes import BLOCKING_WEIGHT, causes_of, weight_of
 from lagoonlever.decisions.engines.target_crashes import (
-    WEIGHT_STARTED,
     LATE_NEWS_S,
+    WEIGHT_STARTED,
     Crash,
     CrashesByRequest,
 )
--- a/lagoonlever/gateway/crash_records.py
+++ b/lagoonlever/gateway/crash_records.py
@@ -15,8 +15,8 @@
 import msgspec
 import trio
 
-from lagoonlever.decisions.engines.target_crashes import Crash, CrashesByRequest
 from lagoonlever.decisions.engines.crash_suspects import CrashSuspects
+from lagoonlever.decisions.engines.target_crashes import Crash, CrashesByRequest
 from lagoonlever.exceptions import PlatformError
 from lagoonlever.gateway import events
 from lagoonlever.revisions import Revision
--- a/lagoonlever/gateway/crash_watch.py
+++ b/lagoonlever/gateway/crash_watch.py
@@ -15,9 +15,9 @@
 import logbook
 import trio
 
-from lagoonlever.decisions.engines.target_crashes import WEIGHT_STARTED, Crash, process_name
 from lagoonlever.decisions.engines.crash_suspects import CrashSuspects
 from lagoonlever.decisions.engines.suspect_gathering import choose_suspect_engine
+from lagoonlever.decisions.engines.target_crashes import WEIGHT_STARTED, Crash, process_name
 from lagoonlever.decisions.fleet.roles import Roles
 from lagoonlever.decisions.targets.listed_target import ListedTarget
 from lagoonlever.gateway import events, metrics
--- a/lagoonlever/gateway/stream_attempt.py
+++ b/lagoonlever/gateway/stream_attempt.py
@@ -6,9 +6,9 @@
 import logbook
 import trio
 
-from lagoonlever.decisions.engines.target_crashes import WEIGHT_STARTED, WEIGHT_QUEUED
 from lagoonlever.decisions.engines.engine_rank import rank_at_engine
 from lagoonlever.decisions.engines.engine_reports import is_preempted
+from lagoonlever.decisions.engines.target_crashes import WEIGHT_QUEUED, WEIGHT_STARTED
 from lagoonlever.decisions.streams.booked_runs import RunCopy
 from lagoonlever.decisions.streams.life import EventVerdict, StreamLife
 from lagoonlever.decisions.streams.silence import (
--- a/lagoonlever/tests/crash_news_tests.py
+++ b/lagoonlever/tests/crash_news_tests.py
@@ -7,8 +7,8 @@
 import trio
 
 from lagoonlever.bench.local_fleet import Fleet, FleetVm, run_fleet, start_many
-from lagoonlever.decisions.engines.target_crashes import WEIGHT_STARTED, Crash
 from lagoonlever.decisions.engines.crash_suspects import CrashSuspects
+from lagoonlever.decisions.engines.target_crashes import WEIGHT_STARTED, Crash
 from lagoonlever.gateway.crash_news import CrashNews
 from lagoonlever.gateway.hub_spread import HubSpread
 from lagoonlever.peers.messages import PEER
--- a/lagoonlever/tests/crash_suspects_tests.py
+++ b/lagoonlever/tests/crash_suspects_tests.py
@@ -8,13 +8,6 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lagoonlever.decisions.engines.target_crashes import (
-    WEIGHT_STARTED,
-    LATE_NEWS_S,
-    WEIGHT_QUEUED,
-    Crash,
-    process_name,
-)
 from lagoonlever.decisions.engines.crash_suspects import (
     BARRED_S,
     KEPT_S,
@@ -23,6 +16,13 @@
     RECALLED_S,
     CrashSuspects,
 )
+from lagoonlever.decisions.engines.target_crashes import (
+    LATE_NEWS_S,
+    WEIGHT_QUEUED,
+    WEIGHT_STARTED,
+    Crash,
+    process_name,
+)
 
 ENDS = st.lists(
     st.tuples(
--- a/lagoonlever/tests/store_restored_tests.py
+++ b/lagoonlever/tests/store_restored_tests.py
@@ -9,8 +9,8 @@
 import pytest
 import trio
 
-from lagoonlever.decisions.engines.target_crashes import Crash
 from lagoonlever.decisions.engines.crash_suspects import CrashSuspects
+from lagoonlever.decisions.engines.target_crashes import Crash
 from lagoonlever.fakes.metadata_store import FakeMetadataStore, StoreCopy
 from lagoonlever.gateway.crash_records import RECORD_KEY, CrashRecords
 from lagoonlever.gateway.pace_keeper import PACES_KEY
--- a/lagoonlever/tests/suspect_gathering_tests.py
+++ b/lagoonlever/tests/suspect_gathering_tests.py
@@ -2,14 +2,14 @@
 
 from __future__ import annotations
 
+from lagoonlever.decisions.engines.crash_suspects import CrashSuspects
+from lagoonlever.decisions.engines.suspect_gathering import choose_suspect_engine
 from lagoonlever.decisions.engines.target_crashes import (
-    WEIGHT_STARTED,
     WEIGHT_QUEUED,
+    WEIGHT_STARTED,
     Crash,
     process_name,
 )
-from lagoonlever.decisions.engines.crash_suspects import CrashSuspects
-from lagoonlever.decisions.engines.suspect_gathering import choose_suspect_engine
 
 NAMES = tuple(f"engine-{number}" for number in range(12))
 PROCESSES = {name: process_name(name, 1) for name in NAMES}
