--- a/lagoonlever/bench/stream_day_model.py
+++ b/lagoonlever/bench/stream_day_model.py
@@ -73,7 +73,7 @@
         return EngineScheduler(
             rng=random.Random(self._seed + 1),
             data_center=DATA_CENTERS[0],
-            copies_most=self._policy.copies_most,
+            max_copies_share=self._policy.copies_most,
         )
 
     @_limits.default
--- a/lagoonlever/decisions/engines/__init__.py
+++ b/lagoonlever/decisions/engines/__init__.py
@@ -1,1 +1,1 @@
-"""What is known of engines: runs, paces, readings, losses, requests that end them."""
+"""Scheduling of runs on inference engines, measured timings, failures and poison requests."""
--- a/lagoonlever/decisions/engines/correlated_loss.py
+++ b/lagoonlever/decisions/engines/correlated_loss.py
@@ -1,10 +1,10 @@
-"""Whether engines of one data centre are being lost together.
+"""Detection of engines of one data centre that are lost together.
 
-The load that is answered: a data centre's engines go dark at once, and each attempt
-there would wait for its own silence to grow long. An attempt that has given no event
-yet is silent anyway, so its loss shows last of all, when its caller's time is nearly
-over. Two losses in one data centre within a moment are a reason to ask all its engines
-that work for this VM; those that live answer in milliseconds.
+When a data centre fails, all its engines fall silent at once, and each attempt there would wait
+until its own silence is long enough to be judged. An attempt that has given no event yet is
+silent anyway, so its loss is detected last, when its caller's time is nearly over. So two losses
+in one data centre within a short time cause all of its engines that work for this VM to be
+probed; those that are alive answer within milliseconds.
 """
 
 from __future__ import annotations
@@ -13,27 +13,28 @@
 
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS, gives
 
-TOGETHER_S = 0.5
-"""Engines that are lost within this time are lost together."""
+CORRELATION_WINDOW_S = 0.5
+"""Engines of one data centre that are lost within this time are taken to be lost together."""
 
 
 @attrs.define(kw_only=True)
 class CorrelatedLoss:
-    """Remembers the last loss in each data centre; times are monotonic seconds."""
+    """The last loss in each data centre; times are seconds of the monotonic clock."""
 
     _last: dict[str, tuple[str, float]] = attrs.field(factory=dict)
+    """Lost engine and time of the loss, by data centre."""
 
     @MECHANISMS.register(
         "correlated-loss",
-        does="two engines of a data centre lost at once have all of them asked",
-        without="each silence is judged by itself",
+        does="two engines lost at once in a data centre have all engines there probed",
+        without="the silence of each engine is judged by itself",
         plain=gives(False),
     )
     def lost(self, engine: str, data_center: str, now: float) -> bool:
-        """Note a loss; gives True where another engine of the data centre was just lost."""
+        """Record a loss; return True if another engine of the data centre was just lost."""
         former = self._last.get(data_center)
         self._last[data_center] = (engine, now)
         if former is None:
             return False
         other, at = former
-        return other != engine and now - at <= TOGETHER_S
+        return other != engine and now - at <= CORRELATION_WINDOW_S
--- a/lagoonlever/decisions/engines/crash_causes.py
+++ b/lagoonlever/decisions/engines/crash_causes.py
@@ -1,8 +1,8 @@
-"""Which requests are the cause of ends, where several were at the same targets.
+"""Decision which requests cause crashes, where several requests were at the same targets.
 
-The load that is answered: a request that ends its targets is seldom alone there, and those beside
-it are lost with it each time. One that is told first is no more the cause than the other; so ends
-are weighed by who else was there, and not by the order in which they became known.
+A request that crashes its targets is seldom alone there, and the requests beside it are lost
+with it each time. The order in which crashes are reported says nothing about their cause. So each
+crash is weighted by the other requests that were at the same process.
 """
 
 from __future__ import annotations
@@ -13,82 +13,98 @@
 from lagoonlever.decisions.engines.target_crashes import Crash, CrashesByRequest
 
 BLOCKING_WEIGHT = 3.0
-"""Targets that may end under a request: one is an accident, two may be one."""
-EXPLAINED = 0.5
-"""What an end weighs less where a barred request was at the target, too. Two causes may have met
-there: the second one is still found, by an end or two more."""
-EXPLAINED_BY_RIVAL = 0.5
-"""Part of its weight that an end keeps where another suspect may be the cause as well."""
-RIVAL_FROM = 2
-"""CrashesByRequest at which two suspects were together, from where on either may be the cause of them."""
-
-
-def causes_of(ends: CrashesByRequest) -> frozenset[str]:
-    """Give the requests with enough ends, found in the order of these ends.
-
-    One that is found explains its ends to those that come to the bound after it. By the
-    most ends instead, a request that is barred, and so ends nothing any more, would be
-    taken for one that followed another.
+"""Total weight of crashes from which on a request is blocked.
+
+One crash under a request is an accident, and two may be one.
+"""
+EXPLAINED_DISCOUNT = 0.5
+"""How much less a crash weighs if a request that was found as a cause was at the target, too.
+
+Two causes may have met there: the second one is still found, after one or two more crashes.
+"""
+RIVAL_WEIGHT_FACTOR = 0.5
+"""Factor on the weight of a crash that another suspect may have caused as well."""
+MIN_SHARED_CRASHES = 2
+"""Number of common crashes from which on either of two suspects may be the cause of them."""
+
+
+def find_causes(crashes: CrashesByRequest) -> frozenset[str]:
+    """Return the requests whose crashes reach ``BLOCKING_WEIGHT``, checked in order of time.
+
+    A cause that is found explains its crashes, which then weigh less for requests that reach the
+    bound later. Ordering by the number of crashes instead would be wrong: a blocked request
+    causes no more crashes, and would be taken for one that only accompanied another.
     """
-    enough = [
-        fingerprint for fingerprint in ends if weight_of(ends[fingerprint]) >= BLOCKING_WEIGHT
+    candidates = [
+        fingerprint
+        for fingerprint in crashes
+        if total_weight(crashes[fingerprint]) >= BLOCKING_WEIGHT
     ]
-    shared = _shared(enough, ends)
-    seen: dict[str, dict[str, Crash]] = {fingerprint: {} for fingerprint in enough}
+    shared = _shared_crashes(candidates, crashes)
+    seen: dict[str, dict[str, Crash]] = {fingerprint: {} for fingerprint in candidates}
     causes: set[str] = set()
     explained: set[str] = set()
-    in_order = sorted((end.at, f, process) for f in enough for process, end in ends[f].items())
+    in_order = sorted(
+        (crash.at, f, process) for f in candidates for process, crash in crashes[f].items()
+    )
     for _, fingerprint, process in in_order:
-        seen[fingerprint][process] = ends[fingerprint][process]
-        weight = weight_of(seen[fingerprint], explained, shared[fingerprint])
+        seen[fingerprint][process] = crashes[fingerprint][process]
+        weight = total_weight(seen[fingerprint], explained, shared[fingerprint])
         if fingerprint not in causes and weight >= BLOCKING_WEIGHT:
             causes.add(fingerprint)
-            explained.update(ends[fingerprint])
+            explained.update(crashes[fingerprint])
     return frozenset(causes)
 
 
-def _shared(enough: Iterable[str], ends: CrashesByRequest) -> dict[str, set[str]]:
-    """Give for each of some requests the ends that another suspect may explain as well."""
-    together: dict[str, list[str]] = {}
-    for fingerprint, processes in ends.items():
+def _shared_crashes(candidates: Iterable[str], crashes: CrashesByRequest) -> dict[str, set[str]]:
+    """Return, for each candidate, the crashed processes that another suspect may explain."""
+    by_process: dict[str, list[str]] = {}
+    for fingerprint, processes in crashes.items():
         for process in processes:
-            together.setdefault(process, []).append(fingerprint)
-    return {fingerprint: _shared_of(fingerprint, ends, together) for fingerprint in enough}
+            by_process.setdefault(process, []).append(fingerprint)
+    return {
+        fingerprint: _shared_crashes_of(fingerprint, crashes, by_process)
+        for fingerprint in candidates
+    }
 
 
-def _shared_of(
-    fingerprint: str, ends: CrashesByRequest, together: Mapping[str, list[str]]
+def _shared_crashes_of(
+    fingerprint: str, crashes: CrashesByRequest, by_process: Mapping[str, list[str]]
 ) -> set[str]:
-    own = ends[fingerprint]
+    own = crashes[fingerprint]
     shared: set[str] = set()
-    looked_at = {fingerprint}
-    for other in itertools.chain.from_iterable(together[process] for process in own):
-        if other in looked_at:
+    checked = {fingerprint}
+    for other in itertools.chain.from_iterable(by_process[process] for process in own):
+        if other in checked:
             continue
-        looked_at.add(other)
-        rival = ends[other]
-        met = own.keys() & rival.keys()
-        if len(met) < RIVAL_FROM:
+        checked.add(other)
+        rival = crashes[other]
+        common = own.keys() & rival.keys()
+        if len(common) < MIN_SHARED_CRASHES:
             continue
-        both = {process for process in met if rival[process].may_explain(own[process])}
-        if len(both) >= RIVAL_FROM:
-            shared |= both
+        explained = {process for process in common if rival[process].may_explain(own[process])}
+        if len(explained) >= MIN_SHARED_CRASHES:
+            shared |= explained
         if len(shared) == len(own):
             break
     return shared
 
 
-def weight_of(
+def total_weight(
     processes: Mapping[str, Crash], explained: Container[str] = (), shared: Container[str] = ()
 ) -> float:
-    """Give what ends weigh together; ``explained`` by a cause, or ``shared`` with a rival."""
+    """Return the total weight of the crashes of one request.
+
+    ``explained`` has the processes whose crashes a found cause explains, ``shared`` those that a
+    rival may have caused.
+    """
     return sum(
-        _counted(end, is_explained=process in explained, is_shared=process in shared)
-        for process, end in processes.items()
+        _adjusted_weight(crash, is_explained=process in explained, is_shared=process in shared)
+        for process, crash in processes.items()
     )
 
 
-def _counted(end: Crash, *, is_explained: bool, is_shared: bool) -> float:
+def _adjusted_weight(crash: Crash, *, is_explained: bool, is_shared: bool) -> float:
     if is_explained:
-        return end.weight - EXPLAINED
-    return end.weight * EXPLAINED_BY_RIVAL if is_shared else end.weight
+        return crash.weight - EXPLAINED_DISCOUNT
+    return crash.weight * RIVAL_WEIGHT_FACTOR if is_shared else crash.weight
--- a/lagoonlever/decisions/engines/engine_loads.py
+++ b/lagoonlever/decisions/engines/engine_loads.py
@@ -1,8 +1,9 @@
-"""What the runs at an engine cost another run that is placed there.
+"""Load of one engine, and what it costs another run that is placed there.
 
-Costs are seconds of waiting. Their parts are given in usual readings, the time that a
-usual prompt of the service takes: on engines that are half as fast every part takes twice
-as long, and the choice between engines stays the same.
+Costs are seconds of waiting. Their components are expressed in usual prefills (the time that the
+prefill of a usual prompt of the service takes), so that they scale with the speed of the engines:
+on engines that are half as fast every component doubles, and the choice between engines stays the
+same.
 """
 
 from __future__ import annotations
@@ -11,42 +12,51 @@
 
 from lagoonlever.decisions.settings.configuration import EngineLimits
 
-BEHIND_PROMPT = 0.3
-"""What each prompt that is being read costs beside its tokens: the pauses it makes."""
-FLOWING_COST = 0.3
-"""What each run that makes tokens adds to the wait of another."""
+PROMPT_COST = 0.3
+"""Cost of each prompt in prefill beside its tokens, in usual prefills: the pauses around it."""
+DECODE_COST = 0.3
+"""Wait that each decoding run adds for another run, in usual prefills."""
 COPY_COST = 0.03
-"""What each copy adds: its run comes here if its engine is lost."""
-FULL = 5.0
-"""What an engine without room costs: beyond any wait that another one may have."""
-OTHER_DATA_CENTER_S = 0.02
-"""Below any real difference in load; it decides between engines that are alike."""
+"""Cost of each KV-cache copy, in usual prefills: its run moves here if its own engine is lost."""
+FULL_COST = 5.0
+"""Cost of an engine without capacity, in usual prefills: more than any wait at another engine."""
+OTHER_DATA_CENTER_COST_S = 0.02
+"""Cost of an engine in another data centre.
+
+It is below any real difference in load, and only decides between engines that are otherwise
+equal.
+"""
 
 
 @attrs.define(kw_only=True)
 class EngineLoad:
-    """What one engine has."""
-
-    to_read_s: float = 0.0
-    prompts: int = 0
-    flowing: int = 0
+    """Load of one engine: its runs and the KV-cache copies that it holds."""
+
+    prefill_left_s: float = 0.0
+    """Time that the prefill of the waiting prompts still takes."""
+    prefilling: int = 0
+    """Number of runs whose prefill has not ended."""
+    decoding: int = 0
+    """Number of runs that have given their first event."""
     copies: int = 0
-    runs_memory: int = 0
-    """In tokens: what its runs need at their longest."""
-    copies_memory: int = 0
-    """The same of the copies that it holds of runs elsewhere."""
+    runs_memory_tokens: int = 0
+    """Memory that its runs need at their longest."""
+    copies_memory_tokens: int = 0
+    """Memory that runs elsewhere, whose copies it holds, need at their longest."""
 
     @property
-    def memory(self) -> int:
-        """In tokens: what its runs and the copies need at their longest."""
-        return self.runs_memory + self.copies_memory
-
-    def has_room(self, limits: EngineLimits, need: int) -> bool:
-        """Tell whether there is a slot, and memory for so many tokens."""
-        slots_taken = self.prompts + self.flowing
-        return slots_taken < limits.slots and self.memory + need <= limits.memory_tokens
-
-    def prefill_cost_s(self, usual_s: float) -> float:
-        """Give what a prompt waits here before it is read, and slows down by its reading."""
-        others = BEHIND_PROMPT * self.prompts + FLOWING_COST * self.flowing
-        return self.to_read_s + usual_s * (others + COPY_COST * self.copies)
+    def memory_tokens(self) -> int:
+        """Memory that the runs and the copies need at their longest."""
+        return self.runs_memory_tokens + self.copies_memory_tokens
+
+    def has_capacity(self, limits: EngineLimits, need_tokens: int) -> bool:
+        """Check whether there is a free slot, and memory for the given number of tokens."""
+        slots_taken = self.prefilling + self.decoding
+        return (
+            slots_taken < limits.slots and self.memory_tokens + need_tokens <= limits.memory_tokens
+        )
+
+    def waiting_cost_s(self, usual_prefill_s: float) -> float:
+        """Return the wait of a prompt before its prefill, and its slowdown by the runs here."""
+        others = PROMPT_COST * self.prefilling + DECODE_COST * self.decoding
+        return self.prefill_left_s + usual_prefill_s * (others + COPY_COST * self.copies)
--- a/lagoonlever/decisions/engines/engine_reports.py
+++ b/lagoonlever/decisions/engines/engine_reports.py
@@ -1,30 +1,39 @@
-"""What an engine's report of its leaving and of its queue decides.
+"""Decisions that follow from an engine's report of its planned stop and of its queue.
 
-The load that is answered: engines are replaced in turn during a burst, and one that leaves
-within seconds still takes prompts which it can't end. And a prompt waits in the queue of
-an engine whose memory is full of runs, while others have room: its caller waits for the end
-of a run that has only begun. A run that such an engine preempts waits in the same queue,
-within its answer, though another engine holds its copy.
+They answer three faults under load:
+
+- Engines are replaced one by one during a burst, and an engine that stops within seconds still
+  accepts prompts whose answers it can't finish.
+- A prompt waits in the queue of an engine whose memory is full of runs, while other engines have
+  capacity: its caller waits for the end of a run that has only begun.
+- A run that such an engine preempts waits in the same queue in the middle of its answer, though
+  another engine holds a copy of its KV cache.
 """
 
 from __future__ import annotations
 
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS, gives
 
-LISTED_S = 0.35
-"""Of silence: reports are some hundred milliseconds old, and name runs that flowed then."""
-MOST_READINGS = 2.0
-"""Of the wait at another engine, the run's own reading among them."""
+MIN_SILENCE_S = 0.35
+"""Silence of a run from which on a report that does not list the run shows its preemption.
+
+Reports are some hundred milliseconds old, and list the runs that were decoding at that time.
+"""
+MAX_WAIT_PREFILLS = 2.0
+"""Longest wait at another engine for which a run leaves a queue, in usual prefills.
+
+It includes the prefill of the run itself.
+"""
 
 
-def leaves_too_soon(leaves_in_s: float | None, *, reading_s: float, making_s: float) -> bool:
-    """Tell whether a usual run, sent now, can't end before its engine leaves."""
-    return leaves_in_s is not None and leaves_in_s < reading_s + making_s
+def leaves_too_soon(leaves_in_s: float | None, *, prefill_s: float, decode_s: float) -> bool:
+    """Check whether a usual run that is sent now can't end before its engine stops."""
+    return leaves_in_s is not None and leaves_in_s < prefill_s + decode_s
 
 
 @MECHANISMS.register(
     "stuck-queues",
-    does="a run leaves an engine whose queue waits for memory, if another engine has room",
+    does="a run leaves an engine whose queue waits for memory, if another engine has capacity",
     without="it waits there",
     plain=gives(False),
 )
@@ -34,34 +43,37 @@
     memory_used: int,
     memory_total: int,
     elsewhere_s: float | None,
-    usual_s: float,
+    usual_prefill_s: float,
 ) -> bool:
-    """Tell whether a run that waits in an engine's queue should go elsewhere.
+    """Check whether a run that waits in an engine's queue should move to another engine.
 
-    Sizes in tokens; ``elsewhere_s`` until its first event at the best other engine, and
-    ``usual_s`` a usual reading. A queue that waits for a slot, or for a reading, moves on by
-    itself. Another engine must begin before a usual prompt would be read there.
+    ``first_waiting`` is the size of the first prompt in the queue; sizes are in tokens.
+    ``elsewhere_s`` is the time until the first event at the best other engine. The run moves only
+    if the queue waits for memory, as one that waits for a slot or a prefill advances by itself,
+    and if the other engine would give its first event within ``MAX_WAIT_PREFILLS``.
     """
     if first_waiting is None or elsewhere_s is None:
         return False
     if memory_used + first_waiting <= memory_total:
         return False
-    return elsewhere_s < MOST_READINGS * usual_s
+    return elsewhere_s < MAX_WAIT_PREFILLS * usual_prefill_s
 
 
 @MECHANISMS.register(
     "leave-preempted",
-    does="a run that its engine has preempted goes on from its copy",
-    without="it waits until it is read again",
+    does="a run that its engine has preempted resumes from its copy at another engine",
+    without="it waits until its engine has repeated the prefill",
     plain=gives(False),
 )
 def is_preempted(
     *, flowing: bool, listed: bool, waiting: int, silent_s: float, has_copy: bool
 ) -> bool:
-    """Tell whether a run should go on from its copy, as its engine waits to read it again.
+    """Check whether a run was preempted by its engine and should resume from its copy.
 
-    ``listed`` says that the engine's report names the run, ``waiting`` how many wait there.
+    ``flowing`` is true after the run's first event, ``listed`` if the engine's report names the
+    run. ``waiting`` is the number of runs in the engine's queue, ``silent_s`` the time since the
+    run's last event.
     """
     if not flowing or not has_copy or listed:
         return False
-    return waiting > 0 and silent_s >= LISTED_S
+    return waiting > 0 and silent_s >= MIN_SILENCE_S
--- a/lagoonlever/decisions/engines/engine_scheduler.py
+++ b/lagoonlever/decisions/engines/engine_scheduler.py
@@ -1,13 +1,13 @@
-"""Which runs each engine has, on all VMs as far as heard, and where the next one goes.
-
-The load that is answered: prompts of several thousand tokens arrive at many VMs at
-once, each VM sees a few of them, and engines' own reports are old when they arrive.
-An engine reads one prompt after the other, and until then the runs beside it make tokens
-at a fraction of their pace. So VMs tell each other each placement,
-and a run goes where the fewest prompt tokens are still to be read, the fewest runs are
-slowed down, and where there is memory for its longest answer. After a loss several VMs
-choose within the same milliseconds and take the same engine: each looks once more when
-it has heard of the others, and all but one leave.
+"""Scheduling of runs on engines, from the runs of all VMs.
+
+Prompts of several thousand tokens arrive at many VMs at once. Each VM sees only a few of them, and
+the engines' own load reports are old when they arrive. An engine processes the prefill of one
+prompt after the other, and meanwhile the runs beside it decode at a fraction of their speed. So
+VMs tell each other of each placement, and a run goes to the engine with the least prefill left
+and the fewest runs that it would slow down, if there is memory for its longest answer.
+
+After an engine is lost several VMs choose within the same milliseconds and pick the same engine.
+Each checks its choice again once it has heard of the others, and all but one move.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
 import attrs
 
 from lagoonlever.decisions.admission.prompt_admission import ReadingLoad
-from lagoonlever.decisions.engines.copy_room import copies_most, risk_of_loss
+from lagoonlever.decisions.engines.copy_capacity import loss_probability, max_copies_share
 from lagoonlever.decisions.engines.engine_avoidance import LOSSES_WINDOW_S, EngineAvoidance
 from lagoonlever.decisions.engines.engine_loads import (
-    BEHIND_PROMPT,
-    FLOWING_COST,
-    FULL,
-    OTHER_DATA_CENTER_S,
+    DECODE_COST,
+    FULL_COST,
+    OTHER_DATA_CENTER_COST_S,
+    PROMPT_COST,
     EngineLoad,
 )
 from lagoonlever.decisions.engines.engine_timings import EngineTimings
-from lagoonlever.decisions.engines.reading_window import ReadingWindow
+from lagoonlever.decisions.engines.prefill_window import PrefillWindow
 from lagoonlever.decisions.engines.uneven_engines import UnevenChoice, UnevenEngines
 from lagoonlever.decisions.settings.configuration import EngineLimits
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS, gives
@@ -37,70 +37,72 @@
 from lagoonlever.decisions.targets.listed_target import ListedTarget
 from lagoonlever.decisions.targets.load_view import TargetLoads
 
-CROWD = 0.3
-"""How far choices are spread by chance after a loss, in usual readings.
+RESUME_JITTER = 0.3
+"""Random spread of the costs of engines after a loss, in usual prefills.
 
-Two VMs that resume at the same moment would both take the idlest engine, and each
-prompt then waits for the other.
+Two VMs that resume streams at the same moment would both choose the least busy engine, and each
+prompt would then wait for the other.
 """
 MAX_COPIES_SHARE = 0.8
-"""How full an engine may get by taking a copy.
+"""Share of an engine's memory up to which it accepts KV-cache copies.
 
-An engine that is full of runs and copies preempts its newest run, whose prompt is then
-read again, and has no room for the runs of the next crash. By `lagoonlever bench
-stream-day`, 24 days, at twelve engines 95.1% of streams are on time, against 93.2% with
-copies wherever there is room and 93.5% at 0.6; prompt tokens read again a stream 342, against
-376 and 388. At seven engines, and on slow ones, there is no difference to the first.
+An engine that is full of runs and copies preempts its newest run, whose prefill is then repeated,
+and has no capacity for the runs of the next crash. By `lagoonlever bench stream-day`, 24 days, at
+twelve engines 95.1% of streams are on time, against 93.2% with copies wherever they fit and 93.5%
+at 0.6; the prompt tokens of repeated prefills are 342 per stream, against 376 and 388. At seven
+engines, and on slow ones, the result is the same as with copies wherever they fit.
 """
-FIRST_MAKING_S = 5.0
-"""Of an answer, until the first ones have ended."""
-NEWS_S = 0.02
-"""Other VMs' placements of the same moment have arrived after this: some 2 ms each."""
-MOVE_GAIN = 0.4
-"""What a better place must save, in usual readings: leaving one costs a connection, and what
-it has read."""
-CLOSE = 0.4
-"""How far choices between uneven engines are spread by chance, in usual readings.
-
-All VMs see the same engine as the fastest, and are told of each other's choice too late.
+INITIAL_DECODE_S = 5.0
+"""Decode time of a usual answer, until the first answers have ended."""
+GOSSIP_DELAY_S = 0.02
+"""Time after which other VMs' placements of the same moment have arrived; each takes some 2 ms."""
+MIN_MOVE_GAIN = 0.4
+"""What a better engine must save for a run to move, in usual prefills.
+
+Leaving an engine costs a new connection, and the part of the prefill that is done.
 """
-LEAST_LEFT = 0.1
-"""The part of a prompt that counts as unread until its run gives an event."""
+UNEVEN_JITTER = 0.4
+"""Random spread of the costs of engines that differ in speed, in usual prefills.
+
+All VMs see the same engine as the fastest, and hear of each other's choices too late.
+"""
+MIN_PREFILL_LEFT = 0.1
+"""Share of a prompt that counts as unread until its run gives an event."""
 
 
 @attrs.frozen(kw_only=True)
 class Placement:
-    """Where a run goes, the wait expected there until its first event, and why."""
+    """The engine for a run, the expected time there until its first event, and the reason."""
 
     engine: ListedTarget
     expected_s: float
     choice: UnevenChoice | None = None
-    """Set where another engine would have been taken, were all alike."""
+    """Set if another engine would have been chosen, had all engines been equally fast."""
 
 
 @attrs.define(kw_only=True)
 class EngineScheduler:
-    """The known runs by request; times are seconds of the monotonic clock."""
+    """The known runs by request, and choices of engines; times are monotonic seconds."""
 
     _rng: random.Random
     data_center: str
-    """Where this VM is."""
-    news_s: float = NEWS_S
-    """How late other VMs' placements may be heard.
+    """The data centre of this VM."""
+    news_s: float = GOSSIP_DELAY_S
+    """How late this VM may hear of other VMs' placements.
 
-    Placements that are closer are ordered by request, alike on every VM.
+    Placements that are closer in time are ordered by request id, which is the same on every VM.
     """
-    _copies_most: float = MAX_COPIES_SHARE
+    _max_copies_share: float = MAX_COPIES_SHARE
     _keep_s: float = 10.0
     """How long an ended run is remembered: as long as its prompt may still be cached."""
     _records: RunRecords = attrs.field(init=False)
-    _reading: ReadingWindow = attrs.field(factory=ReadingWindow)
-    _read_at: dict[str, float] = attrs.field(factory=dict)
-    """By engine: when it had last read a prompt."""
+    _prefill_window: PrefillWindow = attrs.field(factory=PrefillWindow)
+    _last_prefill_at: dict[str, float] = attrs.field(factory=dict)
+    """Time of the last finished prefill, by engine."""
     avoidance: EngineAvoidance = attrs.field(factory=EngineAvoidance)
     paces: EngineTimings = attrs.field(factory=EngineTimings)
     loads: TargetLoads = attrs.field(factory=TargetLoads)
-    """What targets have told of themselves."""
+    """The load reports of targets."""
 
     @_records.default
     def _make_records(self) -> RunRecords:
@@ -108,15 +110,19 @@
 
     @property
     def _uneven(self) -> UnevenEngines:
-        return UnevenEngines(paces=self.paces, loads=self.loads)
+        return UnevenEngines(timings=self.paces, loads=self.loads)
 
     @property
     def open_runs(self) -> tuple[BookedRun, ...]:
-        """Every run that is not known to have ended."""
+        """Every run that was sent to an engine and is not known to have ended."""
         return tuple(r.run for r in self._records if r.ended_at is None and r.sent)
 
     def last_run_of(self, part: str) -> BookedRun | None:
-        """Give the last run of a prompt's own part that did not end whole, or None."""
+        """Return the last run of a prompt segment unless its answer was whole, or None.
+
+        ``part`` is the id of the segment that only this prompt has, which identifies a caller
+        that returns.
+        """
         record = self._records.last_of(part)
         if record is None or record.whole:
             return None
@@ -135,52 +141,54 @@
         crowd: bool = False,
         begins_within_s: float | None = None,
     ) -> Placement | None:
-        """Choose an engine for a run, or None where there is none at all.
+        """Choose the engine with the lowest cost for a run, or None if there is none.
 
-        One that has read the prompt (``prefer``) is spared that part of the wait. In a
-        crowd, as after a loss, many VMs choose before they hear of each other. With
-        ``begins_within_s`` only engines count that have room, and read for no longer.
+        ``prefer`` is an engine that has the prompt cached, so its prefill costs nothing there.
+        ``crowd`` adds jitter, as after a loss many VMs choose before they hear of each other.
+        With ``begins_within_s`` only engines count that have capacity, and whose prefill backlog
+        takes no longer.
         """
         usable = [engine for engine in engines if engine.id not in avoid]
-        calm = [engine for engine in usable if not self.avoidance.is_avoided(engine.id, now)]
-        candidates = calm or usable
+        healthy = [engine for engine in usable if not self.avoidance.is_avoided(engine.id, now)]
+        candidates = healthy or usable
         if not candidates:
             return None
-        loads = self._loads(now)
+        loads = self._compute_loads(now)
         if begins_within_s is not None:
-            need = min(memory_tokens, limits.memory_tokens)
+            need_tokens = min(memory_tokens, limits.memory_tokens)
             unread = self._records.unread()
             candidates = [
                 engine
-                for engine in calm
-                if self._load(loads, engine).has_room(limits, need)
-                and self._reads_on_s(engine.id, unread.get(engine.id, []), now) <= begins_within_s
+                for engine in healthy
+                if self._load_of(loads, engine).has_capacity(limits, need_tokens)
+                and self._prefill_backlog_s(engine.id, unread.get(engine.id, []), now)
+                <= begins_within_s
             ]
         if not candidates:
             return None
         self._rng.shuffle(candidates)
         costs: dict[str, float] = {}
         for engine in candidates:
-            own_s = self._uneven.reading_s(engine.service, engine.id, prompt_tokens, now)
-            spread_s = self._spread(engine, crowd=crowd) * self.paces.usual_reading_s(
+            own_s = self._uneven.prefill_s(engine.service, engine.id, prompt_tokens, now)
+            jitter_s = self._jitter(engine, crowd=crowd) * self.paces.usual_reading_s(
                 engine.service
             )
-            costs[engine.id] = self._paced_cost_s(engine, loads, limits, memory_tokens, now)
+            costs[engine.id] = self._scaled_cost_s(engine, loads, limits, memory_tokens, now)
             costs[engine.id] += 0.0 if engine.id == prefer else own_s
-            costs[engine.id] += self._rng.uniform(0.0, spread_s) if spread_s else 0.0
-            work_s = self._load(loads, engine).to_read_s + own_s
-            costs[engine.id] += self._uneven.moment_s(engine.id, work_s, now)
+            costs[engine.id] += self._rng.uniform(0.0, jitter_s) if jitter_s else 0.0
+            work_s = self._load_of(loads, engine).prefill_left_s + own_s
+            costs[engine.id] += self._uneven.slow_period_delay_s(engine.id, work_s, now)
         best = min(candidates, key=lambda engine: costs[engine.id])
         choice: UnevenChoice | None = None
-        if any(self._uneven.counts(engine.id) for engine in candidates):
-            plain_costs = {e.id: self._cost_s(e, loads, limits, memory_tokens) for e in candidates}
-            choice = self._uneven_choice(best, candidates, plain_costs, now)
+        if any(self._uneven.uses_own_timings(engine.id) for engine in candidates):
+            equal_costs = {e.id: self._cost_s(e, loads, limits, memory_tokens) for e in candidates}
+            choice = self._uneven_choice(best, candidates, equal_costs, now)
         return Placement(engine=best, expected_s=costs[best.id], choice=choice)
 
     @MECHANISMS.register(
         "copies",
-        does="a run's memory is copied to an engine of another data centre while it goes on",
-        without="its prompt is read again after a loss",
+        does="the KV cache of a run is copied to an engine of another data centre while it runs",
+        without="the prefill is repeated after a loss",
         plain=gives(None),
     )
     def place_copy(
@@ -196,8 +204,9 @@
     ) -> ListedTarget | None:
         """Choose the engine that holds the copy of a run, in another data centre if there is one.
 
-        Engines of a data centre fail together, so a copy beside its run would go with it.
-        With ``by_losses`` an engine gets as full of copies as the losses of late call for.
+        Engines of a data centre fail together, so a copy near its run would be lost with it.
+        ``beside`` is the engine of the run. With ``by_losses`` the share of memory for copies
+        depends on how many engines were lost recently.
         """
         others = [
             engine
@@ -206,20 +215,22 @@
             and engine.id not in avoid
             and not self.avoidance.is_avoided(engine.id, now)
         ]
-        apart = [engine for engine in others if engine.data_center != beside.data_center]
-        loads = self._loads(now)
-        most = self._copies_most
+        remote = [engine for engine in others if engine.data_center != beside.data_center]
+        loads = self._compute_loads(now)
+        max_share = self._max_copies_share
         if by_losses:
-            most = self._most_by_losses(beside.service, engines=len(others) + 1, now=now)
-        need = memory_tokens + round(limits.memory_tokens * (1.0 - most))
-        costs = {e.id: self._cost_s(e, loads, limits, need) for e in apart or others}
-        roomy = [
-            engine for engine in apart or others if self._load(loads, engine).has_room(limits, need)
+            max_share = self._max_share_by_losses(beside.service, engines=len(others) + 1, now=now)
+        need_tokens = memory_tokens + round(limits.memory_tokens * (1.0 - max_share))
+        costs = {e.id: self._cost_s(e, loads, limits, need_tokens) for e in remote or others}
+        with_capacity = [
+            engine
+            for engine in remote or others
+            if self._load_of(loads, engine).has_capacity(limits, need_tokens)
         ]
-        if not roomy:
+        if not with_capacity:
             return None
-        self._rng.shuffle(roomy)
-        return min(roomy, key=lambda engine: costs[engine.id])
+        self._rng.shuffle(with_capacity)
+        return min(with_capacity, key=lambda engine: costs[engine.id])
 
     @MECHANISMS.register(
         "second-look",
@@ -230,10 +241,10 @@
     def has_better(
         self, request: str, engines: Iterable[ListedTarget], *, limits: EngineLimits, now: float
     ) -> bool:
-        """Tell whether a run should leave its engine, as others were placed there with it.
+        """Check whether a run should leave its engine, as others were placed there with it.
 
-        Of the prompts that came together the first by request stays: each VM works out
-        the same order, so that one of them stays and the others go.
+        Of the prompts that came at the same time the first by request id stays. Each VM computes
+        the same order, so exactly one of them stays and the others move.
         """
         record = self._records.find(request)
         if record is None or record.run.flowing:
@@ -245,68 +256,72 @@
         ]
         if not others:
             return False
-        loads, run = self._loads(now), record.run
-        need = run.memory_tokens
+        loads, run = self._compute_loads(now), record.run
+        need_tokens = run.memory_tokens
         load = loads.get(run.engine, EngineLoad())
         usual_s = self.paces.usual_reading_s(run.service)
-        if any(self._uneven.counts(engine.id) for engine in others):
-            best_s = min(self._ready_s(e, run, loads, limits, now) for e in others)
-            here_s = self._ready_here_s(record, load, now)
-            return best_s + MOVE_GAIN * usual_s < here_s
-        best_s = min(self._cost_s(engine, loads, limits, need) for engine in others)
-        here_s = self._ahead_s(record, now) + usual_s * FLOWING_COST * load.flowing
-        return best_s + MOVE_GAIN * usual_s < here_s
+        if any(self._uneven.uses_own_timings(engine.id) for engine in others):
+            best_s = min(self._first_event_elsewhere_s(e, run, loads, limits, now) for e in others)
+            here_s = self._first_event_here_s(record, load, now)
+            return best_s + MIN_MOVE_GAIN * usual_s < here_s
+        best_s = min(self._cost_s(engine, loads, limits, need_tokens) for engine in others)
+        here_s = self._prefill_ahead_s(record, now) + usual_s * DECODE_COST * load.decoding
+        return best_s + MIN_MOVE_GAIN * usual_s < here_s
 
     def reading_load(self, service: str, *, engines: int, now: float) -> ReadingLoad:
-        """Give what a service's engines, so many now, were given to read of late by all VMs."""
+        """Return the prefill load that all VMs recently put on a service.
+
+        ``engines`` is the present number of its engines.
+        """
         token_s = self.paces.reading_s(service, "", 1, now)
-        return self._reading.load(service, engines=engines, token_s=token_s, now=now)
+        return self._prefill_window.load(service, engines=engines, token_s=token_s, now=now)
 
     def is_dispatched(self, request: str) -> bool:
-        """Tell whether a request has been sent to any engine, as far as heard."""
+        """Check whether any VM is known to have sent a request to an engine."""
         record = self._records.find(request)
         return record is not None and record.sent
 
     def is_dispatched_after(self, request: str, at: float) -> bool:
-        """Tell whether a request has been sent to an engine since a time."""
+        """Check whether a request is known to have been sent to an engine after a time."""
         record = self._records.find(request)
         return record is not None and record.sent and record.since > at
 
     def find_relay_vm(self, request: str) -> str | None:
-        """Give the VM that relays a run, or None for one that is not known."""
+        """Return the VM that relays a run, or None if the run is not known."""
         record = self._records.find(request)
         return record.run.vm if record is not None else None
 
     def find_run(self, request: str) -> BookedRun | None:
-        """Give the run of a request as last heard of, or None."""
+        """Return the last known run of a request, or None."""
         record = self._records.find(request)
         return record.run if record is not None else None
 
     def reserve(self, run: BookedRun, now: float) -> None:
-        """Keep a place for a run that another VM is about to send.
+        """Reserve capacity for a run that another VM is about to send.
 
-        Those who ask until its VM tells of it are not given the same place. It counts as no
-        request and as no repeat, and is forgotten if it is never sent.
+        Until that VM announces the run, other requests are not given the same capacity. A
+        reservation counts neither as a dispatch nor as a retry, and is removed if the run is
+        never sent.
         """
         self._records.reserve(run, now)
 
     def record_dispatch(self, run: BookedRun, now: float) -> None:
-        """Book a run; one that goes on elsewhere replaces what was booked before."""
-        self._reading.given(run.service, tokens=run.prompt_tokens, now=now)
+        """Record a run that was sent to an engine, in place of the request's former run."""
+        self._prefill_window.record_prompt(run.service, tokens=run.prompt_tokens, now=now)
         self._records.enter(run, now)
 
     def record_reported_run(self, run: BookedRun, now: float) -> None:
-        """Book a run that another VM tells of, unless its own VM has told more since.
+        """Record a run that another VM reports, unless the VM that relays it has told more.
 
-        It began before, so it is no prompt that engines are given now.
+        The run started before, so it doesn't count as a prompt that engines receive now.
         """
         if self._records.find(run.request) is None:
             self._records.enter(run, now)
 
     def record_copy(self, request: str, copy: RunCopy) -> bool:
-        """Note a copy of a run; gives whether it is another one than was known.
+        """Record the copy of a run; return whether it differs from the one that was known.
 
-        A copy that was only refreshed goes by the same name, and is no news to anybody.
+        A copy that was only refreshed keeps its name, and needs no update to other VMs.
         """
         record = self._records.find(request)
         if record is None or record.run.copy == copy:
@@ -315,16 +330,16 @@
         return True
 
     def record_first_event(self, request: str, now: float) -> None:
-        """Note that a run has given its first event: its prompt is read."""
+        """Record that a run has given its first event, so its prefill is finished."""
         record = self._records.find(request)
         if record is None or record.run.flowing:
             return
         run = record.run
         record.run = attrs.evolve(run, flowing=True)
-        self._read_at[run.engine] = now
+        self._last_prefill_at[run.engine] = now
         if not record.beside_prompts:
             seconds = now - record.since
-            self.paces.read(
+            self.paces.observe_prefill(
                 run.service, run.engine, tokens=run.prompt_tokens, seconds=seconds, now=now
             )
 
@@ -338,7 +353,12 @@
         slowdown: float | None = None,
         tokens: int = 0,
     ) -> None:
-        """Note the end of a run, and the pace that its engine showed."""
+        """Record the end of a run, and the timings that were measured of its engine.
+
+        ``whole`` is true if the answer of ``tokens`` tokens was completed. ``token_s`` is the
+        undisturbed time per answer token, ``slowdown`` how many times as long a token took
+        beside a prefill.
+        """
         record = self._records.find(request)
         if record is None or record.ended_at is not None:
             return
@@ -346,28 +366,30 @@
         record.whole = whole
         run = record.run
         if whole:
-            self.paces.answered(run.service, tokens=tokens, now=now)
+            self.paces.observe_answer(run.service, tokens=tokens, now=now)
         if token_s is not None:
-            self.paces.made(run.service, run.engine, token_s=token_s, slowdown=slowdown, now=now)
+            self.paces.observe_decode(
+                run.service, run.engine, token_s=token_s, slowdown=slowdown, now=now
+            )
 
     def record_vm_loss(self, vm: str, now: float) -> None:
-        """Note that a VM is gone: engines drop its runs as its connections close."""
+        """End the runs of a lost VM, as engines abort them when its connections close."""
         for record in self._records:
             if record.run.vm == vm and record.ended_at is None:
                 record.ended_at = now
 
     def forget_others(self, vm: str) -> None:
-        """Forget the runs of all VMs but one, as that VM hears of theirs no longer.
+        """Remove the runs of all VMs but ``vm``, which no longer receives their updates.
 
-        Their ends would never be heard: engines that were busy once would look busy for good.
+        The ends of these runs would never be recorded, and engines that were busy once would
+        appear busy for good.
         """
         self._records.forget_others(vm)
 
     def started_again(self, engine: str, started_ms: int, now: float) -> None:
-        """Note that another process has an engine's id: it holds nothing of before.
+        """End the runs and drop the copies of an engine's former process after a restart.
 
-        Its runs of before have ended, and copies that it held are gone. A run that was sent
-        to the new process is kept, as its VM knew the start.
+        A run that was sent to the new process is kept, as its VM knew of the restart.
         """
         self.avoidance.started_again(engine)
         for record in self._records:
@@ -378,107 +400,121 @@
                 record.run = attrs.evolve(run, copy=None)
 
     def expire(self, now: float) -> None:
-        """Forget what ended so long ago that nothing of it can be cached any more."""
+        """Remove runs that ended so long ago that nothing of them can be cached any more."""
         self._records.expire(now)
-        for engine in [e for e, at in self._read_at.items() if now - at > self._keep_s]:
-            del self._read_at[engine]
+        for engine in [e for e, at in self._last_prefill_at.items() if now - at > self._keep_s]:
+            del self._last_prefill_at[engine]
         self.avoidance.expire(now)
         self.paces.expire(now)
 
-    def _most_by_losses(self, service: str, *, engines: int, now: float) -> float:
-        making_s = self.paces.usual_making_s(service) or FIRST_MAKING_S
-        run_s = self.paces.usual_reading_s(service) + making_s
-        risk = risk_of_loss(
+    def _max_share_by_losses(self, service: str, *, engines: int, now: float) -> float:
+        """Return the share of memory for copies at the present rate of lost engines."""
+        decode_s = self.paces.usual_making_s(service) or INITIAL_DECODE_S
+        run_s = self.paces.usual_reading_s(service) + decode_s
+        risk = loss_probability(
             self.avoidance.losses(now), engines=engines, window_s=LOSSES_WINDOW_S, run_s=run_s
         )
-        return copies_most(risk, usual=self._copies_most)
+        return max_copies_share(risk, usual=self._max_copies_share)
 
-    def _loads(self, now: float) -> dict[str, EngineLoad]:
+    def _compute_loads(self, now: float) -> dict[str, EngineLoad]:
+        """Return the load of each engine that has runs or copies, by engine id."""
         loads: dict[str, EngineLoad] = {}
         for record in self._records:
             if record.ended_at is not None:
                 continue
             run = record.run
             load = loads.setdefault(run.engine, EngineLoad())
-            load.runs_memory += run.memory_tokens
+            load.runs_memory_tokens += run.memory_tokens
             if run.flowing:
-                load.flowing += 1
+                load.decoding += 1
             else:
-                load.prompts += 1
-                load.to_read_s += self._left_to_read_s(record, now)
+                load.prefilling += 1
+                load.prefill_left_s += self._prefill_left_s(record, now)
             if run.copy_at is not None:
                 holder = loads.setdefault(run.copy_at, EngineLoad())
                 holder.copies += 1
-                holder.copies_memory += run.memory_tokens
+                holder.copies_memory_tokens += run.memory_tokens
         return loads
 
-    def _load(self, loads: dict[str, EngineLoad], engine: ListedTarget) -> EngineLoad:
+    def _load_of(self, loads: dict[str, EngineLoad], engine: ListedTarget) -> EngineLoad:
         return loads.get(engine.id, EngineLoad())
 
-    def _ahead_s(self, record: RunRecord, now: float) -> float:
-        """Give what the prompts take that an engine reads before a run's own."""
-        behind_s = BEHIND_PROMPT * self.paces.usual_reading_s(record.run.service)
+    def _prefill_ahead_s(self, record: RunRecord, now: float) -> float:
+        """Return the time of the prefills that an engine does before that of a run."""
+        per_prompt_s = PROMPT_COST * self.paces.usual_reading_s(record.run.service)
         return sum(
-            behind_s + self._left_to_read_s(other, now)
+            per_prompt_s + self._prefill_left_s(other, now)
             for other in self._records.unread_at(record.run.engine)
             if other is not record and self._is_before(other, record)
         )
 
-    def _reads_on_s(self, engine: str, unread: list[RunRecord], now: float) -> float:
-        """Give how long an engine reads on, one prompt after the other."""
+    def _prefill_backlog_s(self, engine: str, unread: list[RunRecord], now: float) -> float:
+        """Return how long an engine needs for the prefills of its runs, one after the other."""
         if not unread:
             return 0.0
         whole_s = [
-            self._uneven.reading_s(record.run.service, engine, record.run.prompt_tokens, now)
+            self._uneven.prefill_s(record.run.service, engine, record.run.prompt_tokens, now)
             for record in unread
         ]
-        first = min(record.since for record in unread)
-        began = max(first, self._read_at.get(engine, first))
-        return max(sum(whole_s) - (now - began), sum(whole_s[1:]) + LEAST_LEFT * whole_s[0])
+        first_at = min(record.since for record in unread)
+        began_at = max(first_at, self._last_prefill_at.get(engine, first_at))
+        return max(
+            sum(whole_s) - (now - began_at), sum(whole_s[1:]) + MIN_PREFILL_LEFT * whole_s[0]
+        )
 
     def _is_before(self, one: RunRecord, other: RunRecord) -> bool:
+        """Check whether a run comes before another one, in an order that all VMs agree on."""
         if abs(one.since - other.since) > self.news_s:
             return one.since < other.since
         return one.run.request < other.run.request
 
-    def _left_to_read_s(self, record: RunRecord, now: float) -> float:
+    def _prefill_left_s(self, record: RunRecord, now: float) -> float:
+        """Return the remaining prefill time of a run, as if its prefill began at its dispatch."""
         run = record.run
-        whole_s = self._uneven.reading_s(run.service, run.engine, run.prompt_tokens, now)
-        return max(whole_s * LEAST_LEFT, whole_s - (now - record.since))
+        whole_s = self._uneven.prefill_s(run.service, run.engine, run.prompt_tokens, now)
+        return max(whole_s * MIN_PREFILL_LEFT, whole_s - (now - record.since))
 
     def _uneven_choice(
         self,
         best: ListedTarget,
         candidates: list[ListedTarget],
-        plain_costs: dict[str, float],
+        equal_costs: dict[str, float],
         now: float,
     ) -> UnevenChoice | None:
-        plain = min(candidates, key=lambda engine: plain_costs[engine.id])
-        if plain_costs[best.id] <= plain_costs[plain.id]:
+        """Return how a choice differs from that among equally fast engines, or None if it doesn't.
+
+        ``equal_costs`` has the cost of each candidate if all engines were equally fast.
+        """
+        other = min(candidates, key=lambda engine: equal_costs[engine.id])
+        if equal_costs[best.id] <= equal_costs[other.id]:
             return None
         return UnevenChoice(
-            taken=self._uneven.seen(best.service, best.id, now),
-            passed_over=self._uneven.seen(plain.service, plain.id, now),
+            taken=self._uneven.snapshot(best.service, best.id, now),
+            passed_over=self._uneven.snapshot(other.service, other.id, now),
         )
 
-    def _paced_cost_s(
+    def _scaled_cost_s(
         self,
         engine: ListedTarget,
         loads: dict[str, EngineLoad],
         limits: EngineLimits,
-        need: int,
+        need_tokens: int,
         now: float,
     ) -> float:
-        pace = self._uneven.relative(engine.service, engine.id, now)
-        return self._cost_s(engine, loads, limits, need, pace=pace)
+        """Return the cost of an engine by its own timings."""
+        relative_time = self._uneven.relative_time(engine.service, engine.id, now)
+        return self._cost_s(engine, loads, limits, need_tokens, relative_time=relative_time)
 
-    def _spread(self, engine: ListedTarget, *, crowd: bool) -> float:
-        """Give how far chance keeps VMs apart that see the same engine as the best."""
+    def _jitter(self, engine: ListedTarget, *, crowd: bool) -> float:
+        """Return the random spread of an engine's cost, in usual prefills.
+
+        It keeps VMs apart that see the same engine as the best.
+        """
         if crowd:
-            return CROWD
-        return CLOSE if self._uneven.counts(engine.id) else 0.0
+            return RESUME_JITTER
+        return UNEVEN_JITTER if self._uneven.uses_own_timings(engine.id) else 0.0
 
-    def _ready_s(
+    def _first_event_elsewhere_s(
         self,
         engine: ListedTarget,
         run: BookedRun,
@@ -486,35 +522,40 @@
         limits: EngineLimits,
         now: float,
     ) -> float:
-        """Give what a run's prompt takes at another engine until it is read."""
-        own_s = self._uneven.reading_s(run.service, engine.id, run.prompt_tokens, now)
-        work_s = self._load(loads, engine).to_read_s + own_s
-        cost_s = self._paced_cost_s(engine, loads, limits, run.memory_tokens, now)
-        return cost_s + own_s + self._uneven.moment_s(engine.id, work_s, now)
-
-    def _ready_here_s(self, record: RunRecord, load: EngineLoad, now: float) -> float:
-        """Give what a run's prompt takes yet at the engine that it is at."""
+        """Return the time until the end of a run's prefill if it moves to another engine."""
+        own_s = self._uneven.prefill_s(run.service, engine.id, run.prompt_tokens, now)
+        work_s = self._load_of(loads, engine).prefill_left_s + own_s
+        cost_s = self._scaled_cost_s(engine, loads, limits, run.memory_tokens, now)
+        return cost_s + own_s + self._uneven.slow_period_delay_s(engine.id, work_s, now)
+
+    def _first_event_here_s(self, record: RunRecord, load: EngineLoad, now: float) -> float:
+        """Return the time until the end of a run's prefill at its present engine."""
         run = record.run
-        work_s = self._ahead_s(record, now) + self._left_to_read_s(record, now)
+        work_s = self._prefill_ahead_s(record, now) + self._prefill_left_s(record, now)
         usual_s = self.paces.usual_reading_s(run.service)
-        usual_s *= self._uneven.relative(run.service, run.engine, now)
-        moment_s = self._uneven.moment_s(run.engine, work_s, now)
-        return work_s + usual_s * FLOWING_COST * load.flowing + moment_s
+        usual_s *= self._uneven.relative_time(run.service, run.engine, now)
+        delay_s = self._uneven.slow_period_delay_s(run.engine, work_s, now)
+        return work_s + usual_s * DECODE_COST * load.decoding + delay_s
 
     def _cost_s(
         self,
         engine: ListedTarget,
         loads: dict[str, EngineLoad],
         limits: EngineLimits,
-        need: int,
+        need_tokens: int,
         *,
-        pace: float = 1.0,
+        relative_time: float = 1.0,
     ) -> float:
-        load = self._load(loads, engine)
+        """Return the cost of placing a run that needs so much memory at an engine.
+
+        The run's own prefill is not included. ``relative_time`` is how many times as long as its
+        service the engine takes.
+        """
+        load = self._load_of(loads, engine)
         usual_s = self.paces.usual_reading_s(engine.service)
-        cost_s = load.prefill_cost_s(pace * usual_s)
+        cost_s = load.waiting_cost_s(relative_time * usual_s)
         if engine.data_center != self.data_center:
-            cost_s += OTHER_DATA_CENTER_S
-        if not load.has_room(limits, need):
-            cost_s += FULL * usual_s
+            cost_s += OTHER_DATA_CENTER_COST_S
+        if not load.has_capacity(limits, need_tokens):
+            cost_s += FULL_COST * usual_s
         return cost_s
--- a/lagoonlever/decisions/engines/fingerprints.py
+++ b/lagoonlever/decisions/engines/fingerprints.py
@@ -1,4 +1,4 @@
-"""What makes two requests the same work: a caller that returns has another id for it."""
+"""Fingerprints of requests: a caller that retries sends the same work under another id."""
 
 from __future__ import annotations
 
@@ -7,12 +7,15 @@
 import attrs
 
 DIGEST_BYTES = 8
-"""Of the few thousand requests that are compared at a time, no two different ones meet."""
+"""Length of a fingerprint.
+
+Only a few thousand requests are compared at a time, so 64 bits rule out collisions in practice.
+"""
 
 
 @attrs.frozen(kw_only=True)
 class RequestIdentity:
-    """What a target is asked to do, and for whom; nothing that differs between returns."""
+    """What a target is asked to do, and for whom, without what differs between retries."""
 
     host: str
     method: str
@@ -22,7 +25,7 @@
     body: bytes
 
     def fingerprint(self) -> str:
-        """Give a short name of this work, alike on every VM, in hexadecimal."""
+        """Return a short hexadecimal digest of the request, the same on every VM."""
         digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
         fields = (self.host, self.method, self.target, self.organisation or "")
         for field in fields:
--- a/lagoonlever/decisions/engines/suspect_gathering.py
+++ b/lagoonlever/decisions/engines/suspect_gathering.py
@@ -1,9 +1,9 @@
-"""Where a request runs that one more end would bar: all its returns at one engine.
+"""Placement of a request that one more crash would block: all its attempts go to one engine.
 
-The load that is answered: a caller sends a request that ends its engines to every VM, and engines
-take seconds to read its prompt. Two have ended when its other returns wait at engines of their own.
-They would begin there at the same moment, and no news of the third end comes in time. At one engine
-together they end that one only.
+A caller may send a request that crashes its engines to every VM, while engines take seconds for
+the prefill of its prompt. After two engines have crashed, its other attempts wait at engines of
+their own. They would start there at the same moment, and the report of the third crash would come
+too late for all of them. Placed together at one engine they crash only that one.
 """
 
 from __future__ import annotations
@@ -16,10 +16,11 @@
 def choose_suspect_engine(
     fingerprint: str, processes: Mapping[str, str], *, ended: Container[str]
 ) -> str | None:
-    """Give the engine for all returns of a request, or None if there is none.
+    """Return the engine for all attempts of a request, or None if there is none.
 
-    ``processes`` has the engines that serve it, each with its process. Every VM finds the same one
-    while these, and the processes that have ``ended`` under the request, agree with the others'.
+    ``processes`` maps each engine that serves the request to the name of its process; ``ended``
+    has the processes that have crashed under the request. VMs that agree on both choose the same
+    engine, by rendezvous hashing.
     """
     names = [engine for engine, process in processes.items() if process not in ended]
     return next(iter(ranked(names, purpose=f"suspect|{fingerprint}")), None)
--- a/lagoonlever/decisions/engines/target_crashes.py
+++ b/lagoonlever/decisions/engines/target_crashes.py
@@ -1,4 +1,4 @@
-"""An end of a target's process under a request, as one VM saw it."""
+"""A crash of a target's process while it had a request, as one VM saw it."""
 
 from __future__ import annotations
 
@@ -7,38 +7,44 @@
 import attrs
 
 WEIGHT_STARTED = 1.0
-"""The weight of an end where the target had begun to run the request, or may be assumed to."""
+"""Weight of a crash where the target had started to run the request, or is assumed to have."""
 WEIGHT_QUEUED = 0.5
-"""The same where the request may only have waited at the target."""
+"""Weight of a crash where the request may only have been queued at the target."""
 LATE_NEWS_S = 0.5
-"""News of an end from before an answer arrives within this: the detection, and a message."""
+"""A report of a crash from before an answer arrives within this time after the answer.
+
+It covers the detection of the crash and one message.
+"""
 
 
 @attrs.frozen(kw_only=True)
 class Crash:
-    """A target's process ended under a request; ``at`` in seconds."""
+    """A crash of a target's process under a request; ``at`` in seconds."""
 
     at: float
     weight: float = WEIGHT_STARTED
 
     @classmethod
     def told(cls, *, at: float, weight: float) -> Crash:
-        """Give an end that came from outside, its weight one of those that there are."""
+        """Create a crash from received data, its weight set to one of the two valid ones."""
         return cls(at=at, weight=WEIGHT_STARTED if weight >= WEIGHT_STARTED else WEIGHT_QUEUED)
 
     def joined(self, other: Crash) -> Crash:
-        """Give what two words of the same end tell together."""
+        """Combine two reports of the same crash: the earlier time and the greater weight."""
         return Crash(at=min(self.at, other.at), weight=max(self.weight, other.weight))
 
     def may_explain(self, other: Crash) -> bool:
-        """Tell whether the request at this end is as likely its cause as that of ``other``."""
+        """Check whether the request of this crash is as likely the cause as that of ``other``.
+
+        Both record the crash of one process, each under another request that was there.
+        """
         return self.weight >= other.weight and self.at <= other.at + LATE_NEWS_S
 
 
 CrashesByRequest = Mapping[str, Mapping[str, Crash]]
-"""By a request's fingerprint: the ends of processes under it, by the process."""
+"""Crashes by the request's fingerprint, then by the name of the crashed process."""
 
 
 def process_name(target: str, started_ms: int | None) -> str:
-    """Give the name of a target's process; one that starts again under its id has another."""
+    """Return the name of a target's process; after a restart under the same id it differs."""
     return target if started_ms is None else f"{target}@{started_ms}"
--- a/lagoonlever/decisions/engines/uneven_engines.py
+++ b/lagoonlever/decisions/engines/uneven_engines.py
@@ -1,10 +1,10 @@
-"""Which engines of a service are fast or slow, and which are slow just now.
+"""Speed of engines that differ within one service, and their short slow periods.
 
-The load that is answered: engines of one service take 0.7 or 1.7 times the usual time, and
-each machine is several times slower for moments of some 0.6 s. A stream that goes to the
-least busy engine goes to a slow one a third of the time, and waits there for a second more.
-Only engines that tell how slow their machines are count as uneven; all others are judged as
-alike but for those that are far slower than their service.
+Engines of one service may take 0.7 or 1.7 times the usual time, and each machine is several times
+slower for periods of some 0.6 s. A stream that goes to the least busy engine goes to a slow one a
+third of the time, and waits there for a second more. Only engines that report the slowdown factor
+of their machines are judged by their own timings. All others are taken to be equal, except those
+that are far slower than their service.
 """
 
 from __future__ import annotations
@@ -16,27 +16,27 @@
 from lagoonlever.decisions.targets.load_estimate import LoadSource
 from lagoonlever.decisions.targets.load_view import MOMENT_S, TargetLoads
 
-LEFT_OF_MOMENT_S = MOMENT_S / 2
-"""A word is told at any time of a moment."""
+SLOW_PERIOD_LEFT_S = MOMENT_S / 2
+"""Mean remaining time of a slow period, as a report may come at any time within it."""
 
 
 @attrs.frozen(kw_only=True)
 class EngineSeen:
-    """What a choice knew of an engine."""
+    """What was known of an engine when a choice was made."""
 
     engine: str
     pace: float
     """How many times as long as its service it takes."""
     slowness: float
-    """Of its machine, as it counts now."""
+    """Present slowdown factor of its machine; 1.0 is usual speed."""
     age_s: float | None
-    """Of its word; None where it has told nothing."""
+    """Age of its last load report; None if there was none."""
     source: LoadSource
 
 
 @attrs.frozen(kw_only=True)
 class UnevenChoice:
-    """A choice that would be another one among engines that are alike."""
+    """A choice that would have been another one if all engines were equally fast."""
 
     taken: EngineSeen
     passed_over: EngineSeen
@@ -44,40 +44,40 @@
 
 @attrs.define(kw_only=True)
 class UnevenEngines:
-    """What engines have shown and told; times are seconds of the monotonic clock."""
+    """Measured timings and reported slowdown factors; ``now`` is the monotonic clock."""
 
-    _paces: EngineTimings
+    _timings: EngineTimings
     _loads: TargetLoads
 
-    def counts(self, engine: str) -> bool:
-        """Tell whether an engine is judged by its own pace."""
-        return self._loads.tells_slowness(engine) and _by_own_pace()
+    def uses_own_timings(self, engine: str) -> bool:
+        """Check whether an engine is judged by its own timings, as it reports its slowdown."""
+        return self._loads.tells_slowness(engine) and _own_timings_enabled()
 
-    def relative(self, service: str, engine: str, now: float) -> float:
-        """Give how many times as long as its service an engine takes."""
-        if not self.counts(engine):
+    def relative_time(self, service: str, engine: str, now: float) -> float:
+        """Return how many times as long as its service an engine takes."""
+        if not self.uses_own_timings(engine):
             return 1.0
-        return self._paces.relative(service, engine, now)
-
-    def reading_s(self, service: str, engine: str, tokens: int, now: float) -> float:
-        """Give the seconds that an engine takes to read so many tokens of a prompt."""
-        if not self.counts(engine):
-            return self._paces.reading_s(service, engine, tokens, now)
-        usual_s = tokens * self._paces.prompt_token_s(service)
-        return usual_s * self._paces.relative(service, engine, now)
-
-    def moment_s(self, engine: str, work_s: float, now: float) -> float:
-        """Give what a slow moment adds to some work: no more than is left of the moment."""
-        if not self.counts(engine):
+        return self._timings.relative_time(service, engine, now)
+
+    def prefill_s(self, service: str, engine: str, tokens: int, now: float) -> float:
+        """Return the seconds that an engine takes for the prefill of so many prompt tokens."""
+        if not self.uses_own_timings(engine):
+            return self._timings.reading_s(service, engine, tokens, now)
+        usual_s = tokens * self._timings.prompt_token_s(service)
+        return usual_s * self._timings.relative_time(service, engine, now)
+
+    def slow_period_delay_s(self, engine: str, work_s: float, now: float) -> float:
+        """Return what a slow period adds to some work: at most what is left of the period."""
+        if not self.uses_own_timings(engine):
             return 0.0
-        return _lost_s(work_s, self._loads.slowness(engine, now))
+        return _delay_s(work_s, self._loads.slowness(engine, now))
 
-    def seen(self, service: str, engine: str, now: float) -> EngineSeen:
-        """Give what is known of an engine, to tell of a choice."""
+    def snapshot(self, service: str, engine: str, now: float) -> EngineSeen:
+        """Return what is known of an engine, for the report of a choice."""
         known = self._loads.estimate(engine, now)
         return EngineSeen(
             engine=engine,
-            pace=self.relative(service, engine, now),
+            pace=self.relative_time(service, engine, now),
             slowness=known.slowness,
             age_s=None if known.source is LoadSource.NONE else known.age_s,
             source=known.source,
@@ -86,20 +86,24 @@
 
 @MECHANISMS.register(
     "engine-own-pace",
-    does="streams go by the own pace of engines that tell how slow their machines are",
-    without="by the pace of the service, but for engines that are far slower",
+    does="engines that report their slowdown factor are judged by their own timings",
+    without="the timings of the service count, except for engines that are far slower",
     plain=gives(False),
 )
-def _by_own_pace() -> bool:
+def _own_timings_enabled() -> bool:
     return True
 
 
 @MECHANISMS.register(
     "slow-moments",
-    does="a stream goes past an engine whose machine has just told that it is slow",
-    without="only what engines have shown counts",
+    does="a stream avoids an engine whose machine has just reported that it is slow",
+    without="only the measured timings of engines count",
     plain=gives(0.0),
 )
-def _lost_s(work_s: float, slowness: float) -> float:
-    lost_s = LEFT_OF_MOMENT_S * (1.0 - 1.0 / max(1.0, slowness))
-    return min(lost_s, work_s * max(0.0, slowness - 1.0))
+def _delay_s(work_s: float, slowness: float) -> float:
+    """Return the delay of some work by a machine's slowdown factor.
+
+    It is at most the part of ``SLOW_PERIOD_LEFT_S`` that a machine at that factor loses.
+    """
+    max_delay_s = SLOW_PERIOD_LEFT_S * (1.0 - 1.0 / max(1.0, slowness))
+    return min(max_delay_s, work_s * max(0.0, slowness - 1.0))
--- a/lagoonlever/gateway/crash_watch.py
+++ b/lagoonlever/gateway/crash_watch.py
@@ -224,7 +224,7 @@
         return True
 
     def _take_news(self) -> None:
-        """Crash what may not go on after ends were noted or told."""
+        """End what may not go on after ends were noted or told."""
         self._note_barred()
         for fingerprint in self._open.keys() & self._suspects.ends.keys():
             for work in self._open[fingerprint]:
--- a/lagoonlever/peers/messages_crashes.py
+++ b/lagoonlever/peers/messages_crashes.py
@@ -22,7 +22,7 @@
 @PEER.message("gd")
 @attrs.frozen(kw_only=True)
 class TargetsEnded:
-    """CrashesByRequest of targets, of one VM or of all that the sender has heard of."""
+    """Ends of targets, of one VM or of all that the sender has heard of."""
 
     ends: tuple[EndTold, ...]
 
--- a/lagoonlever/tests/copy_room_tests.py
+++ b/lagoonlever/tests/copy_room_tests.py
@@ -1,4 +1,4 @@
-"""How full of copies an engine may get, by the losses of late."""
+"""The share of an engine's memory for copies, by how many engines were lost recently."""
 
 from __future__ import annotations
 
@@ -7,7 +7,12 @@
 import attrs
 import pytest
 
-from lagoonlever.decisions.engines.copy_room import RISK, WHOLE, copies_most, risk_of_loss
+from lagoonlever.decisions.engines.copy_capacity import (
+    FULL_COPIES_RISK,
+    WHOLE_MEMORY,
+    loss_probability,
+    max_copies_share,
+)
 from lagoonlever.decisions.engines.engine_avoidance import LOSSES_WINDOW_S, EngineAvoidance
 from lagoonlever.decisions.engines.engine_scheduler import MAX_COPIES_SHARE, EngineScheduler
 from lagoonlever.decisions.settings.configuration import EngineLimits
@@ -19,8 +24,8 @@
 LIMITS = EngineLimits(slots=16, memory_tokens=55_000)
 MEMORY = 6_400
 DATA_CENTERS = "abcd"
-LATER = 2.0
-"""After a crash, when its engines are no longer avoided."""
+AFTER_CRASH_S = 2.0
+"""Time after a crash at which its engines are no longer avoided."""
 
 
 def engines(count: int) -> list[ListedTarget]:
@@ -32,8 +37,8 @@
 
 
 def nearly_full(listed: list[ListedTarget]) -> EngineScheduler:
-    """Give a book by which each engine has seven runs: one more fits, and leaves little."""
-    book = EngineScheduler(rng=random.Random(1), data_center="a")
+    """Return a scheduler with seven runs at each engine: one more fits, and leaves little."""
+    scheduler = EngineScheduler(rng=random.Random(1), data_center="a")
     for number, engine in enumerate(listed * 7):
         run = BookedRun(
             request=f"r{number}",
@@ -43,60 +48,62 @@
             memory_tokens=MEMORY,
             service="s",
         )
-        book.record_dispatch(attrs.evolve(run, flowing=True), 0.0)
-    return book
+        scheduler.record_dispatch(attrs.evolve(run, flowing=True), 0.0)
+    return scheduler
 
 
-def holder(book: EngineScheduler, listed: list[ListedTarget], *, by_losses: bool) -> object:
-    return book.place_copy(
+def holder(scheduler: EngineScheduler, listed: list[ListedTarget], *, by_losses: bool) -> object:
+    return scheduler.place_copy(
         listed,
         limits=LIMITS,
         beside=listed[0],
         memory_tokens=MEMORY,
-        now=LATER,
+        now=AFTER_CRASH_S,
         by_losses=by_losses,
     )
 
 
-def crash(book: EngineScheduler, listed: list[ListedTarget], data_center: str) -> None:
+def crash(scheduler: EngineScheduler, listed: list[ListedTarget], data_center: str) -> None:
     for engine in listed:
         if engine.data_center == data_center:
-            book.avoidance.failed(engine.id, 0.0)
+            scheduler.avoidance.failed(engine.id, 0.0)
 
 
-def test_runs_are_copied_in_a_burst_that_meets_the_crash_of_a_data_centre() -> None:
-    """Guards against runs without a copy, each of which costs a whole reading in the next crash."""
+def test_runs_are_copied_in_a_burst_after_the_crash_of_a_data_centre() -> None:
+    """Guards against runs without a copy, each of which costs a prefill in the next crash."""
     listed = engines(44)
-    book = nearly_full(listed)
-    crash(book, listed, "b")
-    assert holder(book, listed, by_losses=True) is not None
+    scheduler = nearly_full(listed)
+    crash(scheduler, listed, "b")
+    assert holder(scheduler, listed, by_losses=True) is not None
 
 
-def test_room_is_kept_for_prompts_while_engines_stay() -> None:
-    """Guards against copies that nobody will need and that keep prompts out."""
+def test_memory_is_kept_for_prompts_while_no_engine_is_lost() -> None:
+    """Guards against copies that are not needed and take the memory of prompts."""
     listed = engines(44)
-    book = nearly_full(listed)
-    assert holder(book, listed, by_losses=True) is None
+    scheduler = nearly_full(listed)
+    assert holder(scheduler, listed, by_losses=True) is None
 
 
-def test_where_all_runs_are_alike_copies_leave_a_fixed_room() -> None:
+def test_without_by_losses_copies_leave_a_fixed_share_of_memory() -> None:
     """Guards against a change for services whose work is all alike."""
     listed = engines(44)
-    book = nearly_full(listed)
-    crash(book, listed, "b")
-    assert holder(book, listed, by_losses=False) is None
+    scheduler = nearly_full(listed)
+    crash(scheduler, listed, "b")
+    assert holder(scheduler, listed, by_losses=False) is None
 
 
 @pytest.mark.parametrize(
-    ("losses", "most"), [(0, MAX_COPIES_SHARE), (1, MAX_COPIES_SHARE), (11, WHOLE)]
+    ("losses", "max_share"), [(0, MAX_COPIES_SHARE), (1, MAX_COPIES_SHARE), (11, WHOLE_MEMORY)]
 )
-def test_one_lost_engine_is_no_crash_of_a_data_centre(losses: int, most: float) -> None:
-    """Guards against a single faulty engine that changes the room of all."""
-    risk = risk_of_loss(losses, engines=45, window_s=LOSSES_WINDOW_S, run_s=6.0)
-    assert copies_most(risk, usual=MAX_COPIES_SHARE) == most
+def test_a_single_lost_engine_does_not_raise_the_share_for_copies(
+    losses: int, max_share: float
+) -> None:
+    """Guards against a single faulty engine that changes the share at all engines."""
+    risk = loss_probability(losses, engines=45, window_s=LOSSES_WINDOW_S, run_s=6.0)
+    assert max_copies_share(risk, usual=MAX_COPIES_SHARE) == max_share
 
 
-def test_losses_are_forgotten_after_their_window() -> None:
+def test_losses_expire_after_their_window() -> None:
     avoidance = EngineAvoidance()
     avoidance.failed("e1", 0.0)
     avoidance.failed("e1", 0.1)
@@ -104,14 +111,14 @@
     assert avoidance.losses(LOSSES_WINDOW_S + 0.1) == 0
 
 
-def test_the_risk_is_a_chance() -> None:
-    assert risk_of_loss(3, engines=0, window_s=15.0, run_s=6.0) == 0.0
-    assert risk_of_loss(100, engines=3, window_s=15.0, run_s=60.0) == 1.0
+def test_the_loss_probability_stays_within_0_and_1() -> None:
+    assert loss_probability(3, engines=0, window_s=15.0, run_s=6.0) == 0.0
+    assert loss_probability(100, engines=3, window_s=15.0, run_s=60.0) == 1.0
 
 
-def test_without_the_mechanism_the_room_is_fixed() -> None:
+def test_without_the_mechanism_the_share_is_fixed() -> None:
     MECHANISMS.switch_off(["copies-by-risk"])
     try:
-        assert copies_most(2 * RISK, usual=MAX_COPIES_SHARE) == MAX_COPIES_SHARE
+        assert max_copies_share(2 * FULL_COPIES_RISK, usual=MAX_COPIES_SHARE) == MAX_COPIES_SHARE
     finally:
         MECHANISMS.switch_off(())
--- a/lagoonlever/tests/crash_suspects_tests.py
+++ b/lagoonlever/tests/crash_suspects_tests.py
@@ -1,4 +1,4 @@
-"""Which requests are taken for the cause of ends: the decision by itself."""
+"""Which requests are taken for the cause of crashes."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from hypothesis import strategies as st
 
 from lagoonlever.decisions.engines.crash_suspects import (
-    BARRED_S,
-    KEPT_S,
-    MOST_ANSWERED,
-    MOST_KNOWN,
-    RECALLED_S,
+    BLOCK_S,
+    CLEARING_RETENTION_S,
+    MAX_ANSWERS,
+    MAX_SUSPECTS,
+    RETENTION_S,
     CrashSuspects,
 )
 from lagoonlever.decisions.engines.target_crashes import (
@@ -24,7 +24,7 @@
     process_name,
 )
 
-ENDS = st.lists(
+CRASHES = st.lists(
     st.tuples(
         st.sampled_from(("f1", "f2")),
         st.sampled_from(("a", "b", "c", "d")),
@@ -36,62 +36,62 @@
 )
 
 
-def suspects_of(*ends: tuple[str, float]) -> CrashSuspects:
-    """Give what is known after ends under one request, each of a process and its weight."""
+def suspects_of(*crashes: tuple[str, float]) -> CrashSuspects:
+    """Return the registry after crashes under one request, each of a process with its weight."""
     suspects = CrashSuspects()
-    for at, (process, weight) in enumerate(ends):
+    for at, (process, weight) in enumerate(crashes):
         suspects.ended_under("f1", process, Crash(at=float(at), weight=weight))
     return suspects
 
 
-def test_the_third_end_bars_a_request_for_a_while() -> None:
+def test_the_third_crash_blocks_a_request_for_a_while() -> None:
     suspects = suspects_of(("a", WEIGHT_STARTED), ("b", WEIGHT_STARTED))
     assert suspects.bar("f1", 2.0) is None
     suspects.ended_under("f1", "c", Crash(at=2.0))
-    bar = suspects.bar("f1", 2.0)
-    assert bar is not None and (bar.ended, bar.for_s) == (3, BARRED_S)
+    block = suspects.bar("f1", 2.0)
+    assert block is not None and (block.ended, block.for_s) == (3, BLOCK_S)
     assert suspects.bar("f2", 2.0) is None
 
 
-def test_after_its_time_one_more_end_bars_it_again() -> None:
+def test_after_its_block_one_more_crash_blocks_a_request_again() -> None:
     suspects = suspects_of(("a", WEIGHT_STARTED), ("b", WEIGHT_STARTED), ("c", WEIGHT_STARTED))
-    later = 3.0 + BARRED_S
+    later = 3.0 + BLOCK_S
     suspects.expire(later)
     assert suspects.bar("f1", later) is None
     suspects.ended_under("f1", "d", Crash(at=later))
     assert suspects.bar("f1", later) is not None
-    suspects.expire(later + KEPT_S + 1.0)
+    suspects.expire(later + RETENTION_S + 1.0)
     assert not suspects.ends
 
 
-def test_one_end_told_by_many_counts_once() -> None:
-    """Two returns of one caller are at an engine as it ends, and both VMs tell of it."""
+def test_one_crash_reported_by_several_vms_counts_once() -> None:
+    """Guards against a crash counted twice, as two VMs had a retry of the request at the target."""
     suspects = suspects_of(("a", WEIGHT_STARTED))
     assert not suspects.ended_under("f1", "a", Crash(at=1.0))
     assert not suspects.ended_under("f1", "a", Crash(at=1.0, weight=WEIGHT_QUEUED))
     assert suspects.count("f1") == 1
 
 
-def test_a_target_that_ends_again_under_its_id_counts_again() -> None:
+def test_a_target_that_restarts_and_crashes_again_counts_again() -> None:
     names = [process_name("engine-1", started_ms) for started_ms in (None, 1, 2)]
     assert len(set(names)) == 3
 
 
-def test_a_request_that_may_only_have_waited_counts_half() -> None:
+def test_a_crash_counts_half_for_a_request_that_may_only_have_been_queued() -> None:
     suspects = suspects_of(*((name, WEIGHT_QUEUED) for name in "abcde"))
     assert suspects.bar("f1", 5.0) is None
     suspects.ended_under("f1", "f", Crash(at=5.0, weight=WEIGHT_QUEUED))
     assert suspects.bar("f1", 5.0) is not None
 
 
-def test_where_it_had_begun_goes_before_where_it_may_have_waited() -> None:
+def test_a_report_that_the_request_had_started_raises_the_weight_of_a_crash() -> None:
     suspects = suspects_of(("a", WEIGHT_QUEUED), ("b", WEIGHT_STARTED), ("c", WEIGHT_STARTED))
     assert suspects.bar("f1", 3.0) is None
     assert suspects.ended_under("f1", "a", Crash(at=3.0, weight=WEIGHT_STARTED))
     assert suspects.bar("f1", 3.0) is not None
 
 
-def test_a_whole_answer_forgets_what_was_counted() -> None:
+def test_a_whole_answer_clears_the_crashes_of_a_request() -> None:
     suspects = suspects_of(("a", WEIGHT_STARTED), ("b", WEIGHT_STARTED))
     assert suspects.served("f1", 2.0, is_own=True)
     assert not suspects.served("f1", 2.0, is_own=True)
@@ -99,8 +99,8 @@
     assert suspects.bar("f1", 2.0) is None
 
 
-def test_news_of_an_end_just_after_an_answer_is_late_and_does_not_count() -> None:
-    """Guards against ends that are told a moment after the answer that clears them."""
+def test_a_crash_reported_just_after_an_answer_does_not_count() -> None:
+    """Guards against late reports of crashes from before the answer that clears them."""
     suspects = CrashSuspects()
     suspects.served("f1", 10.0, is_own=True)
     late = {"f1": {"a": Crash(at=10.0 + LATE_NEWS_S)}, "f2": {"a": Crash(at=10.1)}}
@@ -112,22 +112,22 @@
     assert suspects.learn(later)
 
 
-def test_ends_that_an_answer_cleared_do_not_come_back_with_an_older_record() -> None:
-    """Guards against a store that comes back from before the answer, and tells its ends again."""
+def test_cleared_crashes_do_not_return_with_an_older_copy_of_the_store() -> None:
+    """Guards against a store restored from before the answer, which reports its crashes again."""
     suspects = suspects_of(("a", WEIGHT_STARTED), ("b", WEIGHT_STARTED))
-    recalled = {"f1": dict(suspects.ends["f1"])}
+    restored = {"f1": dict(suspects.ends["f1"])}
     assert suspects.served("f1", 5.0, is_own=False)
-    suspects.expire(5.0 + RECALLED_S)
-    assert suspects.cleared(recalled) == {"f1"}
-    assert not suspects.cleared_here(recalled)
-    assert not suspects.learn(recalled)
+    suspects.expire(5.0 + CLEARING_RETENTION_S)
+    assert suspects.cleared(restored) == {"f1"}
+    assert not suspects.cleared_here(restored)
+    assert not suspects.learn(restored)
     assert suspects.learn({"f1": {"c": Crash(at=1.0)}})
-    suspects.expire(5.1 + RECALLED_S)
-    assert suspects.learn(recalled)
+    suspects.expire(5.1 + CLEARING_RETENTION_S)
+    assert suspects.learn(restored)
 
 
-def test_only_the_vm_that_gave_an_answer_tells_again_of_it() -> None:
-    """Guards against every VM of a fleet answering one late message."""
+def test_only_the_vm_that_gave_an_answer_reports_it_again() -> None:
+    """Guards against replies of every VM of a fleet to one late message."""
     suspects = CrashSuspects()
     suspects.served("f1", 10.0, is_own=False)
     late = {"f1": {"a": Crash(at=10.0)}}
@@ -135,7 +135,7 @@
     assert not suspects.cleared_here(late)
 
 
-def test_an_end_that_this_vm_saw_after_an_answer_counts() -> None:
+def test_a_crash_that_this_vm_saw_after_an_answer_counts() -> None:
     suspects = CrashSuspects()
     suspects.served("f1", 10.0, is_own=True)
     assert suspects.ended_under("f1", "a", Crash(at=10.1))
@@ -143,7 +143,7 @@
 
 def test_answers_are_remembered_for_a_moment_and_up_to_a_bound() -> None:
     suspects = CrashSuspects()
-    for number in range(MOST_ANSWERED + 1):
+    for number in range(MAX_ANSWERS + 1):
         suspects.served(f"f{number}", 10.0, is_own=True)
     assert suspects.learn({"f0": {"a": Crash(at=10.0)}})
     assert not suspects.learn({"f1": {"a": Crash(at=10.0)}})
@@ -151,10 +151,11 @@
     assert suspects.learn({"f1": {"a": Crash(at=10.0)}})
 
 
-def test_what_the_cause_explains_counts_less_against_those_that_followed_it() -> None:
-    """A stream is at four engines that a question ends, twice with an answer just begun.
+def test_crashes_that_a_cause_explains_count_less_for_other_requests() -> None:
+    """Guards against blocking a stream that was only beside a poison request.
 
-    Its own ends would do to bar it, if nobody looked who else was there.
+    It was at four engines that the poison request crashed, at two of them already started: its
+    own crashes would reach the bound if those of the other request were not considered.
     """
     suspects = suspects_of(
         ("a", WEIGHT_STARTED), ("b", WEIGHT_STARTED), ("c", WEIGHT_STARTED), ("d", WEIGHT_STARTED)
@@ -170,8 +171,8 @@
     assert suspects.bar("f2", 5.0) is None
 
 
-def test_two_causes_that_met_are_both_found() -> None:
-    """Two questions end engines, three of them together; then the first one is barred."""
+def test_two_causes_with_common_crashes_are_both_found() -> None:
+    """Two requests crash engines, three of them together; then the first one is blocked."""
     suspects = suspects_of(*((process, WEIGHT_STARTED) for process in "abcd"))
     for process in "abc":
         suspects.ended_under("f2", process, Crash(at=4.0))
@@ -182,19 +183,19 @@
     assert suspects.bar("f2", 5.0) is not None
 
 
-def ended_together(*processes: str, last_told_s: float = 0.0) -> CrashSuspects:
-    """Give what is known after ends of processes under a deadly request and a bystander, f2."""
+def crashed_together(*processes: str, last_delay_s: float = 0.0) -> CrashSuspects:
+    """Return the registry after crashes under a poison request, f1, and a bystander, f2."""
     suspects = CrashSuspects()
     for at, process in enumerate(processes):
         suspects.ended_under("f2", process, Crash(at=float(at)))
-        late_s = last_told_s if process == processes[-1] else 0.0
-        suspects.ended_under("f1", process, Crash(at=at + late_s))
+        delay_s = last_delay_s if process == processes[-1] else 0.0
+        suspects.ended_under("f1", process, Crash(at=at + delay_s))
     return suspects
 
 
-def test_a_bystander_at_three_ends_is_not_barred_though_its_third_is_told_first() -> None:
-    """Guards against a stream refused for minutes, as it was beside a deadly one each time."""
-    suspects = ended_together("a", "b")
+def test_a_bystander_at_three_crashes_is_not_blocked_if_its_third_is_reported_first() -> None:
+    """Guards against a stream refused for minutes, as a poison request was beside it each time."""
+    suspects = crashed_together("a", "b")
     suspects.ended_under("f2", "c", Crash(at=2.0))
     assert suspects.bar("f2", 2.0) is None
     suspects.ended_under("f1", "c", Crash(at=2.025))
@@ -205,8 +206,8 @@
     assert suspects.bar("f1", 4.0) is not None
 
 
-def test_one_more_end_each_tells_the_cause_from_a_bystander_that_is_never_served() -> None:
-    suspects = ended_together("a", "b", "c", last_told_s=0.025)
+def test_two_more_crashes_identify_the_cause_beside_a_bystander_that_is_never_answered() -> None:
+    suspects = crashed_together("a", "b", "c", last_delay_s=0.025)
     suspects.ended_under("f1", "d", Crash(at=3.0))
     assert suspects.bar("f1", 3.0) is None
     suspects.ended_under("f1", "e", Crash(at=4.0))
@@ -214,80 +215,80 @@
     assert suspects.bar("f2", 4.0) is None
 
 
-def test_two_that_are_always_together_are_barred_after_twice_as_many_ends() -> None:
-    """Guards against a request that ends targets for good, in the company of another one."""
-    assert not ended_together(*"abcde").barred
-    assert ended_together(*"abcdef").barred == {"f1", "f2"}
+def test_two_requests_always_together_are_blocked_after_twice_as_many_crashes() -> None:
+    """Guards against a poison request never blocked, as another one is always beside it."""
+    assert not crashed_together(*"abcde").barred
+    assert crashed_together(*"abcdef").barred == {"f1", "f2"}
 
 
-def test_a_bystander_at_one_end_delays_nothing() -> None:
+def test_a_bystander_at_one_crash_does_not_delay_the_block() -> None:
     suspects = suspects_of(("a", WEIGHT_STARTED), ("b", WEIGHT_STARTED), ("c", WEIGHT_STARTED))
     for number in range(12):
         suspects.ended_under(f"stream-{number}", "abc"[number % 3], Crash(at=float(number % 3)))
     assert suspects.barred == {"f1"}
 
 
-def test_one_that_may_only_have_waited_explains_no_end_of_one_that_had_begun() -> None:
+def test_a_request_that_was_only_queued_explains_no_crash_of_a_started_one() -> None:
     suspects = suspects_of(("a", WEIGHT_STARTED), ("b", WEIGHT_STARTED), ("c", WEIGHT_STARTED))
     for at, process in enumerate("abc"):
         suspects.ended_under("f2", process, Crash(at=float(at), weight=WEIGHT_QUEUED))
     assert suspects.barred == {"f1"}
 
 
-def test_what_is_told_long_after_a_bar_does_not_lift_it() -> None:
-    suspects = ended_together("a", "b", "c", last_told_s=0.0)
-    late = ended_together("a", "b", "c", last_told_s=0.0)
+def test_reports_long_after_a_block_do_not_lift_it() -> None:
+    suspects = crashed_together("a", "b", "c", last_delay_s=0.0)
+    late = crashed_together("a", "b", "c", last_delay_s=0.0)
     assert not suspects.barred and not late.barred
     alone = suspects_of(("a", WEIGHT_STARTED), ("b", WEIGHT_STARTED), ("c", WEIGHT_STARTED))
     alone.learn({"f2": {p: Crash(at=at + 2 * LATE_NEWS_S) for at, p in enumerate("abc")}})
     assert alone.barred == {"f1"}
 
 
-def test_a_process_that_had_ended_before_is_known() -> None:
+def test_a_process_that_crashed_before_is_known() -> None:
     suspects = suspects_of(("a", WEIGHT_STARTED), ("b", WEIGHT_STARTED))
     assert suspects.has_ended("b", 1.5)
     assert not suspects.has_ended("b", 0.5)
     assert not suspects.has_ended("c", 1.5)
 
 
-def test_a_crash_of_many_targets_does_not_push_out_what_is_barred() -> None:
-    """A service's targets crash with hundreds of calls, each of them counted once."""
+def test_many_crashes_do_not_evict_a_blocked_request() -> None:
+    """A service's targets crash with hundreds of calls, each of which has one crash."""
     suspects = suspects_of(("a", WEIGHT_STARTED), ("b", WEIGHT_STARTED), ("c", WEIGHT_STARTED))
-    for number in range(2 * MOST_KNOWN):
+    for number in range(2 * MAX_SUSPECTS):
         suspects.ended_under(f"call-{number}", "d", Crash(at=10.0))
     assert suspects.bar("f1", 10.0) is not None
-    assert len(suspects.ends) == MOST_KNOWN
+    assert len(suspects.ends) == MAX_SUSPECTS
 
 
-@given(ends=ENDS, seed=st.integers(0, 100))
-def test_news_in_any_order_and_twice_bar_the_same_requests(
-    ends: list[tuple[str, str, Crash]], seed: int
+@given(crashes=CRASHES, seed=st.integers(0, 100))
+def test_reports_in_any_order_and_repeated_block_the_same_requests(
+    crashes: list[tuple[str, str, Crash]], seed: int
 ) -> None:
-    shuffled = [*ends, *ends]
+    shuffled = [*crashes, *crashes]
     random.Random(seed).shuffle(shuffled)
     here, there = CrashSuspects(), CrashSuspects()
-    for fingerprint, process, end in ends:
-        here.ended_under(fingerprint, process, end)
-    for fingerprint, process, end in shuffled:
-        there.ended_under(fingerprint, process, end)
+    for fingerprint, process, crash in crashes:
+        here.ended_under(fingerprint, process, crash)
+    for fingerprint, process, crash in shuffled:
+        there.ended_under(fingerprint, process, crash)
     for fingerprint in ("f1", "f2"):
         assert bool(here.bar(fingerprint, 50.0)) == bool(there.bar(fingerprint, 50.0))
 
 
 @pytest.mark.parametrize("count", [1, 2])
-def test_one_end_is_not_worth_a_call_to_the_store(count: int) -> None:
+def test_a_single_crash_is_not_written_to_the_store(count: int) -> None:
     suspects = suspects_of(*((name, WEIGHT_STARTED) for name in "ab"[:count]))
     assert bool(suspects.kept()) == (count == 2)
 
 
-def test_more_than_can_be_remembered_is_taken_at_once() -> None:
-    """Somebody writes thousands of requests into the record; a VM reads them at its start."""
+def test_a_report_of_more_requests_than_the_bound_is_trimmed() -> None:
+    """Guards against a stored record of thousands of requests, which a VM reads at its start."""
     suspects = suspects_of(("a", WEIGHT_STARTED), ("b", WEIGHT_STARTED), ("c", WEIGHT_STARTED))
     suspects.learn({f"r{n}": {"x": Crash(at=5.0), "y": Crash(at=5.0)} for n in range(10_000)})
-    assert len(suspects.ends) == MOST_KNOWN
+    assert len(suspects.ends) == MAX_SUSPECTS
     assert suspects.barred == {"f1"}
 
 
 @given(weight=st.floats(), at=st.floats(allow_nan=False))
-def test_an_odd_weight_from_outside_counts_as_one_that_there_is(weight: float, at: float) -> None:
+def test_an_invalid_weight_from_outside_is_mapped_to_a_valid_one(weight: float, at: float) -> None:
     assert Crash.told(at=at, weight=weight).weight in (WEIGHT_STARTED, WEIGHT_QUEUED)
--- a/lagoonlever/tests/engine_paces_tests.py
+++ b/lagoonlever/tests/engine_paces_tests.py
@@ -1,4 +1,4 @@
-"""What is learnt of engines' speeds, and the refusals and choices that rest on it."""
+"""Measured timings of engines, and the refusals and placements that rest on them."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 
 
 def seen(*, times: float, engines: int = 3, streams: int = 10) -> EngineTimings:
-    """Give what was learnt of engines that take so many times as long as some others."""
-    paces = EngineTimings()
+    """Return the timings measured of engines that take ``times`` as long as usual ones."""
+    timings = EngineTimings()
     for number in range(streams):
         now, engine = float(number), f"e{1 + number % engines}"
-        paces.read(SERVICE, engine, tokens=PROMPT, seconds=times, now=now)
-        paces.made(SERVICE, engine, token_s=0.004 * times, now=now)
-    return paces
+        timings.observe_prefill(SERVICE, engine, tokens=PROMPT, seconds=times, now=now)
+        timings.observe_decode(SERVICE, engine, token_s=0.004 * times, now=now)
+    return timings
 
 
-def needed_s(paces: EngineTimings, *, position: int = 0, cached: bool = False) -> float:
+def needed_s(timings: EngineTimings, *, position: int = 0, cached: bool = False) -> float:
     return least_time_s(
-        pace=paces.fastest(SERVICE),
+        pace=timings.fastest(SERVICE),
         prompt_tokens=PROMPT,
         output_tokens=OUTPUT,
         position=position,
@@ -39,62 +39,64 @@
 
 
 @pytest.mark.parametrize("times", [0.25, 0.5, 1.0, 2.0, 4.0])
-def test_no_stream_is_refused_that_an_idle_engine_ends_in_time(times: float) -> None:
-    """A stream takes a second of reading and four of tokens, or half or twice of that.
+def test_no_stream_is_refused_that_an_idle_engine_can_finish_in_time(times: float) -> None:
+    """Guards against refusals by the figures of one deployment's engines.
 
-    A refusal by the figures of one customer's engines was false on faster ones, and let
-    hopeless prompts be read on slower ones.
+    A usual stream takes a second of prefill and four of decode. Fixed figures refused streams
+    wrongly on faster engines, and on slower ones accepted prompts that couldn't end in time.
     """
-    paces = seen(times=times)
-    assert needed_s(paces) < times * (1.0 + 0.004 * OUTPUT)
-    assert needed_s(paces, cached=True) < times * 0.004 * OUTPUT
+    timings = seen(times=times)
+    assert needed_s(timings) < times * (1.0 + 0.004 * OUTPUT)
+    assert needed_s(timings, cached=True) < times * 0.004 * OUTPUT
 
 
 @pytest.mark.parametrize("times", [0.5, 1.0, 2.0])
-def test_a_stream_that_no_engine_could_end_is_known(times: float) -> None:
+def test_a_stream_that_no_engine_can_finish_is_detected(times: float) -> None:
     assert needed_s(seen(times=times)) > 0.4 * times * (1.0 + 0.004 * OUTPUT)
 
 
-def test_before_anything_was_seen_no_stream_is_refused_that_fast_engines_can_end() -> None:
-    """All VMs have just started, and callers of before come back with a few seconds left.
+def test_before_any_measurement_no_stream_is_refused_that_fast_engines_can_finish() -> None:
+    """Guards against wrong refusals after a restart of all VMs.
 
-    Engines that read 16,000 tokens a second and make 480 are twice as fast as any served.
+    Callers come back with a few seconds left before anything was measured. Engines of 16,000
+    tokens a second in prefill and 480 in decode are twice as fast as any that is served.
     """
     on_fast_engines_s = PROMPT / 16_000 + OUTPUT / 480
     assert 0.8 * on_fast_engines_s < needed_s(EngineTimings()) < on_fast_engines_s
 
 
-def test_a_slow_engine_is_known_and_lesser_differences_are_not() -> None:
-    paces = seen(times=1.0)
+def test_only_an_engine_far_slower_than_its_service_has_its_own_figures() -> None:
+    timings = seen(times=1.0)
     for number in range(10):
-        paces.read(SERVICE, "slow", tokens=PROMPT, seconds=4.0, now=10.0 + number)
-        paces.read(SERVICE, "e1", tokens=PROMPT, seconds=1.2, now=10.0 + number)
+        timings.observe_prefill(SERVICE, "slow", tokens=PROMPT, seconds=4.0, now=10.0 + number)
+        timings.observe_prefill(SERVICE, "e1", tokens=PROMPT, seconds=1.2, now=10.0 + number)
         for fast in ("e2", "e3"):
-            paces.read(SERVICE, fast, tokens=PROMPT, seconds=1.0, now=10.0 + number)
-    usual_s = paces.reading_s(SERVICE, "e2", PROMPT, 20.0)
-    assert paces.reading_s(SERVICE, "slow", PROMPT, 20.0) > 1.5 * usual_s
-    assert paces.reading_s(SERVICE, "e1", PROMPT, 20.0) == usual_s
-    assert paces.reading_s(SERVICE, "slow", PROMPT, 100.0) == usual_s
+            timings.observe_prefill(SERVICE, fast, tokens=PROMPT, seconds=1.0, now=10.0 + number)
+    usual_s = timings.reading_s(SERVICE, "e2", PROMPT, 20.0)
+    assert timings.reading_s(SERVICE, "slow", PROMPT, 20.0) > 1.5 * usual_s
+    assert timings.reading_s(SERVICE, "e1", PROMPT, 20.0) == usual_s
+    assert timings.reading_s(SERVICE, "slow", PROMPT, 100.0) == usual_s
 
 
-def test_one_slow_reading_makes_no_engine_slow() -> None:
-    """The first reading of an engine takes four times as long, as its connection was lost.
+def test_one_slow_prefill_does_not_make_an_engine_slow() -> None:
+    """Guards against an engine that counts as slow for half a minute after one outlier.
 
-    The engine was known as slow for half a minute and the others were crowded.
+    Its first prefill takes four times as long, as its connection was lost; meanwhile the other
+    engines are overloaded.
     """
-    paces = seen(times=1.0)
-    paces.read(SERVICE, "new", tokens=PROMPT, seconds=4.0, now=10.0)
-    assert paces.reading_s(SERVICE, "new", PROMPT, 11.0) == paces.reading_s(
+    timings = seen(times=1.0)
+    timings.observe_prefill(SERVICE, "new", tokens=PROMPT, seconds=4.0, now=10.0)
+    assert timings.reading_s(SERVICE, "new", PROMPT, 11.0) == timings.reading_s(
         SERVICE, "e1", PROMPT, 11.0
     )
 
 
-def test_an_engine_at_the_address_of_a_slow_one_is_taken_for_slow() -> None:
-    paces = seen(times=1.0)
+def test_an_engine_at_the_address_of_a_slow_one_counts_as_slow() -> None:
+    timings = seen(times=1.0)
     for number in range(10):
-        paces.read(SERVICE, "slow", tokens=PROMPT, seconds=4.0, now=10.0 + number)
-    paces.inherit(SERVICE, "slow", "new")
-    assert paces.reading_s(SERVICE, "new", PROMPT, 20.0) == paces.reading_s(
+        timings.observe_prefill(SERVICE, "slow", tokens=PROMPT, seconds=4.0, now=10.0 + number)
+    timings.inherit(SERVICE, "slow", "new")
+    assert timings.reading_s(SERVICE, "new", PROMPT, 20.0) == timings.reading_s(
         SERVICE, "slow", PROMPT, 20.0
     )
 
@@ -114,43 +116,43 @@
     return EngineScheduler(rng=random.Random(1), data_center="a")
 
 
-def test_a_book_learns_from_the_runs_of_all_vms() -> None:
-    on = book()
+def test_timings_are_measured_from_the_runs_of_all_vms() -> None:
+    scheduler = book()
     for number in range(5):
-        on.record_dispatch(attrs.evolve(run(f"r{number}"), vm=f"vm-{number}"), 10.0 * number)
-        on.record_first_event(f"r{number}", 10.0 * number + 2.0)
-        on.record_end(f"r{number}", 10.0 * number + 9.0, whole=True, token_s=0.009)
-    assert on.paces.usual_reading_s(SERVICE) == pytest.approx(2.0, rel=0.05)
-    assert on.paces.reading_s(SERVICE, "e9", PROMPT, 50.0) == pytest.approx(2.0, rel=0.05)
-    assert on.paces.fastest(SERVICE).token_s == pytest.approx(0.7 * 0.009, rel=0.05)
+        scheduler.record_dispatch(attrs.evolve(run(f"r{number}"), vm=f"vm-{number}"), 10.0 * number)
+        scheduler.record_first_event(f"r{number}", 10.0 * number + 2.0)
+        scheduler.record_end(f"r{number}", 10.0 * number + 9.0, whole=True, token_s=0.009)
+    assert scheduler.paces.usual_reading_s(SERVICE) == pytest.approx(2.0, rel=0.05)
+    assert scheduler.paces.reading_s(SERVICE, "e9", PROMPT, 50.0) == pytest.approx(2.0, rel=0.05)
+    assert scheduler.paces.fastest(SERVICE).token_s == pytest.approx(0.7 * 0.009, rel=0.05)
 
 
-def test_a_prompt_that_waited_for_another_teaches_nothing() -> None:
-    on = book()
-    on.record_dispatch(run("r1"), 0.0)
-    on.record_dispatch(run("r2"), 0.1)
-    on.record_first_event("r1", 1.0)
-    on.record_first_event("r2", 2.0)
-    assert on.paces.reading_s(SERVICE, "e1", PROMPT, 3.0) == PROMPT * PRIOR_PROMPT_TOKEN_S
+def test_a_prefill_that_waited_for_another_one_is_not_measured() -> None:
+    scheduler = book()
+    scheduler.record_dispatch(run("r1"), 0.0)
+    scheduler.record_dispatch(run("r2"), 0.1)
+    scheduler.record_first_event("r1", 1.0)
+    scheduler.record_first_event("r2", 2.0)
+    assert scheduler.paces.reading_s(SERVICE, "e1", PROMPT, 3.0) == PROMPT * PRIOR_PROMPT_TOKEN_S
 
 
 @pytest.mark.parametrize("times", [0.5, 1.0, 2.2])
-def test_the_choice_between_engines_is_the_same_however_fast_they_are(times: float) -> None:
-    """One engine reads a prompt and one makes tokens for four runs; a third has two runs.
+def test_the_choice_between_engines_does_not_depend_on_their_speed(times: float) -> None:
+    """Guards against costs in seconds, which weigh decoding runs half on engines half as fast.
 
-    With weights in seconds, engines twice as slow had the tokens of others count for half.
+    One engine has a prompt in prefill, one has four decoding runs and one has two.
     """
-    on = book()
-    on.paces = seen(times=times)
-    on.record_dispatch(run("r1", "e1"), 10.0)
+    scheduler = book()
+    scheduler.paces = seen(times=times)
+    scheduler.record_dispatch(run("r1", "e1"), 10.0)
     for number in range(4):
-        on.record_dispatch(run(f"f{number}", "e2"), 5.0)
-        on.record_first_event(f"f{number}", 5.1)
+        scheduler.record_dispatch(run(f"f{number}", "e2"), 5.0)
+        scheduler.record_first_event(f"f{number}", 5.1)
     for number in range(2):
-        on.record_dispatch(run(f"g{number}", "e3"), 5.0)
-        on.record_first_event(f"g{number}", 5.1)
+        scheduler.record_dispatch(run(f"g{number}", "e3"), 5.0)
+        scheduler.record_first_event(f"g{number}", 5.1)
     limits = attrs.evolve(LIMITS, memory_tokens=200_000)
-    placement = on.place(
+    placement = scheduler.place(
         ENGINES, limits=limits, prompt_tokens=PROMPT, memory_tokens=9_000, now=10.0
     )
     assert placement is not None and placement.engine.id == "e3"
--- a/lagoonlever/tests/engine_reports_tests.py
+++ b/lagoonlever/tests/engine_reports_tests.py
@@ -1,4 +1,4 @@
-"""What an engine's report of its leaving and of its queue decides."""
+"""Decisions that follow from an engine's report of its planned stop and of its queue."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import pytest
 
 from lagoonlever.decisions.engines.engine_reports import (
-    LISTED_S,
+    MIN_SILENCE_S,
     is_preempted,
     leaves_queue,
     leaves_too_soon,
@@ -19,29 +19,29 @@
 TOTAL = 55_000
 
 
-def told(body: bytes) -> EngineReport:
+def parse_report(body: bytes) -> EngineReport:
     return read_report(msgspec.json.decode(body, type=Report))
 
 
-def test_a_report_tells_when_its_engine_leaves_and_what_waits_there() -> None:
-    report = told(b'{"leaves_ms": 2500, "Next": 5200, "KvUsed": 52000, "KvTotal": 55000}')
+def test_a_report_has_the_time_of_the_stop_and_the_first_prompt_in_the_queue() -> None:
+    report = parse_report(b'{"leaves_ms": 2500, "Next": 5200, "KvUsed": 52000, "KvTotal": 55000}')
     assert report.leaves_in_s == 2.5 and report.first_waiting == 5_200
     assert not report.leaves
 
 
-@pytest.mark.parametrize("odd", ["null", '"soon"', "-1", "true", "{}"])
-def test_odd_values_spoil_no_report(odd: str) -> None:
-    """Guards against an engine taken for lost as its report could not be read."""
-    report = told(f'{{"leaves_ms": {odd}, "Next": {odd}, "Queued": 2}}'.encode())
+@pytest.mark.parametrize("invalid", ["null", '"soon"', "-1", "true", "{}"])
+def test_invalid_values_do_not_invalidate_a_report(invalid: str) -> None:
+    """Guards against an engine taken for lost because its report could not be parsed."""
+    report = parse_report(f'{{"leaves_ms": {invalid}, "Next": {invalid}, "Queued": 2}}'.encode())
     assert report.leaves_in_s is None and report.first_waiting is None
     assert report.waiting == 2
 
 
-def test_an_engine_that_leaves_within_a_run_takes_no_new_one() -> None:
-    """Guards against a prompt read at an engine that ends before the answer does."""
-    assert leaves_too_soon(3.0, reading_s=1.2, making_s=4.0)
-    assert not leaves_too_soon(30.0, reading_s=1.2, making_s=4.0)
-    assert not leaves_too_soon(None, reading_s=1.2, making_s=4.0)
+def test_an_engine_that_stops_within_a_run_receives_no_new_one() -> None:
+    """Guards against a prefill at an engine that stops before the answer ends."""
+    assert leaves_too_soon(3.0, prefill_s=1.2, decode_s=4.0)
+    assert not leaves_too_soon(30.0, prefill_s=1.2, decode_s=4.0)
+    assert not leaves_too_soon(None, prefill_s=1.2, decode_s=4.0)
 
 
 def leaves(
@@ -52,7 +52,7 @@
         memory_used=used,
         memory_total=TOTAL,
         elsewhere_s=elsewhere_s,
-        usual_s=1.1,
+        usual_prefill_s=1.1,
     )
 
 
@@ -61,8 +61,8 @@
     assert leaves()
 
 
-def test_a_prompt_stays_where_the_queue_moves_on_or_no_engine_is_sooner() -> None:
-    """Guards against prompts that change places in a burst and are read nowhere."""
+def test_a_prompt_stays_if_the_queue_advances_or_no_engine_is_sooner() -> None:
+    """Guards against prompts that keep moving in a burst and get no prefill anywhere."""
     assert not leaves(used=40_000)
     assert not leaves(waiting=None)
     assert not leaves(elsewhere_s=6.0)
@@ -77,8 +77,8 @@
         MECHANISMS.switch_off(())
 
 
-def test_a_called_copy_is_fresh_when_the_run_s_engine_leaves() -> None:
-    """Guards against a run resumed from a copy that is a second old and made again from there."""
+def test_a_last_copy_is_made_just_before_the_engine_of_a_run_stops() -> None:
+    """Guards against a run resumed from a copy that is a second old, whose tokens are repeated."""
     keeping = CopyKeeping(kept_s=4.0)
     keeping.called("e2", 10.0)
     assert not keeping.due(11.2, holder_usable=True)
@@ -90,23 +90,23 @@
 
 
 def preempted(**more: object) -> bool:
-    seen = {"flowing": True, "listed": False, "waiting": 1, "silent_s": 0.37, "has_copy": True}
-    return is_preempted(**{**seen, **more})
+    arguments = {"flowing": True, "listed": False, "waiting": 1, "silent_s": 0.37, "has_copy": True}
+    return is_preempted(**{**arguments, **more})
 
 
-def test_a_preempted_run_goes_on_from_its_copy() -> None:
-    """Guards against a stream that pauses for seconds in a queue while its copy is elsewhere."""
+def test_a_preempted_run_resumes_from_its_copy() -> None:
+    """Guards against a stream that waits in a queue though another engine has its copy."""
     assert preempted()
 
 
-def test_a_run_that_may_go_on_where_it_is_stays() -> None:
-    """Guards against runs that leave an engine on the word of a report from before they flowed."""
+def test_a_run_that_is_not_preempted_stays() -> None:
+    """Guards against runs that move because of a report from before their first event."""
     assert not preempted(listed=True)
-    assert not preempted(silent_s=LISTED_S / 2)
+    assert not preempted(silent_s=MIN_SILENCE_S / 2)
     assert not preempted(waiting=0)
     assert not preempted(flowing=False)
 
 
 def test_a_preempted_run_without_a_copy_waits() -> None:
-    """Guards against a prompt that is read again elsewhere, which takes as long and more."""
+    """Guards against a repeated prefill elsewhere, which takes as long or longer."""
     assert not preempted(has_copy=False)
--- a/lagoonlever/tests/fingerprints_tests.py
+++ b/lagoonlever/tests/fingerprints_tests.py
@@ -1,4 +1,4 @@
-"""Which requests are the same work."""
+"""Fingerprints of requests: equal for the same work only."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from lagoonlever.decisions.engines.fingerprints import RequestIdentity
 
-WORK = RequestIdentity(
+REQUEST = RequestIdentity(
     host="shop.example",
     method="POST",
     target="/stream/1?a=1",
@@ -16,9 +16,9 @@
 )
 
 
-def test_the_same_work_has_the_same_name_on_every_vm() -> None:
-    assert WORK.fingerprint() == attrs.evolve(WORK).fingerprint()
-    assert WORK.fingerprint() == "eccacb48b7ee53d0"
+def test_the_same_request_has_the_same_fingerprint_on_every_vm() -> None:
+    assert REQUEST.fingerprint() == attrs.evolve(REQUEST).fingerprint()
+    assert REQUEST.fingerprint() == "eccacb48b7ee53d0"
 
 
 @pytest.mark.parametrize(
@@ -32,10 +32,10 @@
         {"body": b"{ }"},
     ],
 )
-def test_other_work_has_another_name(change: dict[str, object]) -> None:
-    assert attrs.evolve(WORK, **change).fingerprint() != WORK.fingerprint()
+def test_any_changed_field_changes_the_fingerprint(change: dict[str, object]) -> None:
+    assert attrs.evolve(REQUEST, **change).fingerprint() != REQUEST.fingerprint()
 
 
-def test_fields_do_not_run_into_each_other() -> None:
-    one = attrs.evolve(WORK, target="/a", organisation="bc").fingerprint()
-    assert one != attrs.evolve(WORK, target="/ab", organisation="c").fingerprint()
+def test_adjacent_fields_are_separated_in_the_digest() -> None:
+    one = attrs.evolve(REQUEST, target="/a", organisation="bc").fingerprint()
+    assert one != attrs.evolve(REQUEST, target="/ab", organisation="c").fingerprint()
--- a/lagoonlever/tests/gateway_presence_tests.py
+++ b/lagoonlever/tests/gateway_presence_tests.py
@@ -321,7 +321,7 @@
         for vm in fleet.vms.values():
             for name, engine in at.items():
                 run = attrs.evolve(booked(int(name[3:])), vm=name, engine=engine, copy=None)
-                vm.beliefs.book.begin(run, trio.current_time())
+                vm.beliefs.book.record_dispatch(run, trio.current_time())
         change = EngineLost(engine="e1")
         relays["vm-20"].relay.tell(change)
         await trio.sleep(0.001)
--- a/lagoonlever/tests/placer_tests.py
+++ b/lagoonlever/tests/placer_tests.py
@@ -110,7 +110,7 @@
         await trio.sleep(0.03)
         hubs = [vm for vm in placing.values() if vm.is_hub]
         assert len(hubs) == 6
-        assert all(vm.vm.beliefs.book.knows("r1") for vm in hubs)
+        assert all(vm.vm.beliefs.book.is_dispatched("r1") for vm in hubs)
 
     run_fleet(story)
 
@@ -145,7 +145,7 @@
         began = trio.current_time()
         await asker.place("r1")
         assert trio.current_time() - began <= 2 * ANSWER_S + 0.001
-        assert asker.vm.beliefs.book.knows("r1")
+        assert asker.vm.beliefs.book.is_dispatched("r1")
 
     run_fleet(story)
 
@@ -228,7 +228,7 @@
         hub = next(vm for vm in placing.values() if vm.is_hub)
         hub.vm.bus.take(sender=other.vm.bus.own, data=PEER.encode(RunList(runs=(run,))))
         await trio.sleep(0.5)
-        assert hub.vm.beliefs.book.knows("r-other")
+        assert hub.vm.beliefs.book.is_dispatched("r-other")
 
     run_fleet(story)
 
@@ -262,6 +262,6 @@
         assert roles is not None
         placing[roles.hubs[0]].vm.beliefs.known = trio.Event()
         await asker.place("r1")
-        assert asker.vm.beliefs.book.knows("r1")
+        assert asker.vm.beliefs.book.is_dispatched("r1")
 
     run_fleet(story)
--- a/lagoonlever/tests/prompt_admission_tests.py
+++ b/lagoonlever/tests/prompt_admission_tests.py
@@ -99,13 +99,13 @@
         now = site.vms["vm-0"].daemon.parts.timers.now
         for number in range(10):
             for name in site.engines:
-                book.paces.read("engines", name, tokens=PROMPT, seconds=6.0, now=now)
-                book.paces.made("engines", name, token_s=0.012, now=now)
-            book.paces.answered("engines", tokens=1_000, now=now)
-            book.begin(run(f"f{number}", "engine-0"), now)
-            book.begin(run(f"g{number}", "engine-1"), now)
-            book.end(f"f{number}", now, whole=False)
-            book.end(f"g{number}", now, whole=False)
+                book.paces.observe_prefill("engines", name, tokens=PROMPT, seconds=6.0, now=now)
+                book.paces.observe_decode("engines", name, token_s=0.012, now=now)
+            book.paces.observe_answer("engines", tokens=1_000, now=now)
+            book.record_dispatch(run(f"f{number}", "engine-0"), now)
+            book.record_dispatch(run(f"g{number}", "engine-1"), now)
+            book.record_end(f"f{number}", now, whole=False)
+            book.record_end(f"g{number}", now, whole=False)
         refused = await site.stream("p1", events=10)
         assert refused.status == 503
         assert 0.5 < float(refused.headers.get("Retry-After") or 0) < 5.0
@@ -128,12 +128,12 @@
         now = site.vms["vm-0"].daemon.parts.timers.now
         for _ in range(10):
             for name in site.engines:
-                book.paces.read("engines", name, tokens=PROMPT, seconds=0.25, now=now)
-                book.paces.made("engines", name, token_s=0.004, now=now)
-            book.paces.answered("engines", tokens=1_000, now=now)
+                book.paces.observe_prefill("engines", name, tokens=PROMPT, seconds=0.25, now=now)
+                book.paces.observe_decode("engines", name, token_s=0.004, now=now)
+            book.paces.observe_answer("engines", tokens=1_000, now=now)
         for number in range(LEAST_PROMPTS + 4):
-            book.begin(run(f"f{number}", "engine-0"), now)
-            book.end(f"f{number}", now, whole=False)
+            book.record_dispatch(run(f"f{number}", "engine-0"), now)
+            book.record_end(f"f{number}", now, whole=False)
         load = book.reading_load("engines", engines=len(site.engines), now=now)
         assert load.prompts >= LEAST_PROMPTS and 0.2 < load.share < 0.3
         got = await site.stream("p1", events=10, Deadline_Ms="4500")
--- a/lagoonlever/tests/room_asker_tests.py
+++ b/lagoonlever/tests/room_asker_tests.py
@@ -72,7 +72,7 @@
         for vm in self.vms.values():
             for each in ("a", "b"):
                 ended = RunEnded(request=f"full-{number}{each}", whole=True)
-                vm.vm.beliefs.book.end(ended.request, trio.current_time(), whole=True)
+                vm.vm.beliefs.book.record_end(ended.request, trio.current_time(), whole=True)
 
     async def wait(self, vm: PlacingVm, request: str, asked: LineNeed) -> None:
         """Ask as a stream does, and send the run where it is placed."""
@@ -188,7 +188,7 @@
         room.free(0)
         await trio.sleep(0.1)
         assert len(told) == 1
-        assert not keeper.vm.beliefs.book.knows("r1")
+        assert not keeper.vm.beliefs.book.is_dispatched("r1")
 
     run_room(story)
 
--- a/lagoonlever/tests/suspect_gathering_tests.py
+++ b/lagoonlever/tests/suspect_gathering_tests.py
@@ -1,4 +1,4 @@
-"""Where the returns of a request are brought together that ends its engines."""
+"""The engine to which all attempts of a suspected poison request go."""
 
 from __future__ import annotations
 
@@ -16,22 +16,22 @@
 
 
 def suspects(*weights: float) -> CrashSuspects:
-    """Give what is known of a request with such ends."""
+    """Return the registry after crashes of these weights under the request."""
     known = CrashSuspects()
     for number, weight in enumerate(weights):
         known.ended_under("f", f"p-{number}", Crash(at=float(number), weight=weight))
     return known
 
 
-def test_every_order_of_the_list_gives_the_same_engine() -> None:
+def test_the_choice_does_not_depend_on_the_order_of_the_list() -> None:
     backward = dict(reversed(PROCESSES.items()))
     assert choose_suspect_engine("f", backward, ended=()) == choose_suspect_engine(
         "f", PROCESSES, ended=()
     )
 
 
-def test_an_engine_that_is_known_to_one_vm_only_changes_the_place_to_that_one_at_most() -> None:
-    """Guards against lists that differ for a moment and send each return elsewhere."""
+def test_an_engine_that_only_one_vm_knows_changes_the_choice_to_itself_at_most() -> None:
+    """Guards against lists that differ for a moment and send each attempt elsewhere."""
     found = choose_suspect_engine("f", PROCESSES, ended=())
     for number in range(50):
         newcomer = f"new-{number}"
@@ -39,13 +39,13 @@
         assert choose_suspect_engine("f", wider, ended=()) in (found, newcomer)
 
 
-def test_requests_are_not_all_brought_to_one_engine() -> None:
+def test_suspected_requests_are_spread_over_all_engines() -> None:
     found = {choose_suspect_engine(f"f-{number}", PROCESSES, ended=()) for number in range(100)}
     assert found == set(NAMES)
 
 
-def test_a_process_that_has_ended_under_the_request_is_passed_over() -> None:
-    """Guards against VMs whose list still has the engine of the last end."""
+def test_a_process_that_has_crashed_under_the_request_is_not_chosen() -> None:
+    """Guards against VMs whose list still has the process of the last crash."""
     found = choose_suspect_engine("f", PROCESSES, ended=())
     assert found is not None
     assert choose_suspect_engine("f", PROCESSES, ended={process_name(found, 1)}) != found
@@ -53,14 +53,14 @@
     assert choose_suspect_engine("f", PROCESSES, ended=set(PROCESSES.values())) is None
 
 
-def test_a_request_is_gathered_from_the_second_end_to_the_third() -> None:
+def test_a_request_goes_to_one_engine_between_its_second_and_third_crash() -> None:
     assert not suspects().is_next_to_last("f")
     assert not suspects(WEIGHT_STARTED).is_next_to_last("f")
     assert suspects(WEIGHT_STARTED, WEIGHT_STARTED).is_next_to_last("f")
     assert not suspects(WEIGHT_STARTED, WEIGHT_STARTED, WEIGHT_STARTED).is_next_to_last("f")
 
 
-def test_ends_at_which_a_request_may_only_have_waited_count_half() -> None:
-    """Guards against streams that crashes of a data centre have followed, kept to one engine."""
+def test_crashes_where_a_request_may_only_have_been_queued_count_half() -> None:
+    """Guards against restricting streams to one engine that met crashes of a whole data centre."""
     assert not suspects(WEIGHT_STARTED, WEIGHT_QUEUED).is_next_to_last("f")
     assert suspects(WEIGHT_STARTED, WEIGHT_QUEUED, WEIGHT_QUEUED).is_next_to_last("f")
--- a/lagoonlever/tests/uneven_engines_tests.py
+++ b/lagoonlever/tests/uneven_engines_tests.py
@@ -1,4 +1,4 @@
-"""Streams at engines of uneven pace: a wave of prompts replayed through the books of sixty VMs."""
+"""Streams at engines that differ in speed: waves of prompts through the schedulers of 60 VMs."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 from lagoonlever.http.messages import Address
 
 VMS, ENGINES = 60, 45
-FAST, SLOW, SLOW_PART = 0.7, 1.7, 1 / 3
-"""Times as long as usual that engines take, and the part of those that are slow."""
-MOMENT_S, MOMENT_SLOWNESS, MOMENT_PART = 0.6, 2.5, 0.15
+FAST, SLOW, SLOW_SHARE = 0.7, 1.7, 1 / 3
+"""How many times as long as usual engines take, and the share of slow engines."""
+SLOW_PERIOD_S, SLOW_PERIOD_FACTOR, SLOW_PERIOD_SHARE = 0.6, 2.5, 0.15
 STREAMS_PER_S, SWING, WAVE_S, DAY_S = 12.0, 0.55, 17.0, 50.0
-LEARNT_S = 10.0
-"""Engines have shown their paces by then."""
-READING_S, MAKING_S, NEWS_S = 1.04, 3.9, 0.02
+WARM_UP_S = 10.0
+"""Time after which the timings of all engines have been measured."""
+PREFILL_S, DECODE_S, GOSSIP_DELAY_S = 1.04, 3.9, 0.02
 STEP_S = 0.05
 LIMITS = EngineLimits(slots=16, memory_tokens=55_000)
 PROMPT, MEMORY, TOKENS = 5_200, 6_500, 1_260
@@ -39,19 +39,19 @@
 
 @attrs.define(kw_only=True)
 class Day:
-    """One wave of streams; engines read one prompt after the other."""
+    """Simulation of a day with waves of streams; engines process one prefill after the other."""
 
     seed: int
-    tells: bool
-    """Whether engines tell how slow their machines are."""
+    reports_slowness: bool
+    """Whether engines report the slowdown factor of their machines."""
     first_events_s: list[float] = attrs.field(factory=list)
     _now: float = 0.0
     _queue: list[tuple[float, int, Callable[[], None]]] = attrs.field(factory=list)
     _numbers: itertools.count[int] = attrs.field(factory=itertools.count)
-    _read_until: dict[str, float] = attrs.field(factory=dict)
+    _prefill_until: dict[str, float] = attrs.field(factory=dict)
     _rng: random.Random = attrs.field(init=False)
-    _paces: dict[str, float] = attrs.field(init=False)
-    _books: list[EngineScheduler] = attrs.field(init=False)
+    _relative_times: dict[str, float] = attrs.field(init=False)
+    _schedulers: list[EngineScheduler] = attrs.field(init=False)
     _engines: list[ListedTarget] = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
@@ -61,41 +61,43 @@
             ListedTarget(id=f"e{n}", service="engines", address=address, data_center=f"d{n % 3}")
             for n in range(ENGINES)
         ]
-        slow = self._rng.sample(self._engines, round(SLOW_PART * ENGINES))
-        self._paces = {e.id: SLOW if e in slow else FAST for e in self._engines}
-        self._books = [
+        slow = self._rng.sample(self._engines, round(SLOW_SHARE * ENGINES))
+        self._relative_times = {e.id: SLOW if e in slow else FAST for e in self._engines}
+        self._schedulers = [
             EngineScheduler(rng=random.Random(n), data_center=f"d{n % 3}", loads=TargetLoads())
             for n in range(VMS)
         ]
 
-    def play(self) -> list[float]:
-        """Give the seconds to the first event of each stream, in order."""
+    def run(self) -> list[float]:
+        """Run the simulation; return the seconds to the first event of each stream, sorted."""
         at = 0.0
         while at < DAY_S:
             rate = STREAMS_PER_S * (1.0 + SWING * math.sin(2 * math.pi * at / WAVE_S))
             at += self._rng.expovariate(rate)
-            self._plan(at, self._arrive)
+            self._schedule(at, self._arrive)
         while self._queue:
-            self._now, _, happen = heapq.heappop(self._queue)
-            happen()
+            self._now, _, action = heapq.heappop(self._queue)
+            action()
         return sorted(self.first_events_s)
 
-    def _plan(self, at: float, happen: Callable[[], None]) -> None:
-        heapq.heappush(self._queue, (at, next(self._numbers), happen))
+    def _schedule(self, at: float, action: Callable[[], None]) -> None:
+        heapq.heappush(self._queue, (at, next(self._numbers), action))
 
     def _slowness(self, engine: str, at: float) -> float:
-        moment = random.Random(f"{self.seed} {engine} {int(at / MOMENT_S)}")
-        return MOMENT_SLOWNESS if moment.random() < MOMENT_PART else 1.0
-
-    def _tell(self, vm: int, change: Callable[[EngineScheduler], None]) -> None:
-        change(self._books[vm])
-        others = [book for number, book in enumerate(self._books) if number != vm]
-        self._plan(self._now + NEWS_S, lambda: [change(book) for book in others] and None)
+        period = random.Random(f"{self.seed} {engine} {int(at / SLOW_PERIOD_S)}")
+        return SLOW_PERIOD_FACTOR if period.random() < SLOW_PERIOD_SHARE else 1.0
+
+    def _broadcast(self, vm: int, change: Callable[[EngineScheduler], None]) -> None:
+        change(self._schedulers[vm])
+        others = [scheduler for number, scheduler in enumerate(self._schedulers) if number != vm]
+        self._schedule(
+            self._now + GOSSIP_DELAY_S, lambda: [change(scheduler) for scheduler in others] and None
+        )
 
     def _arrive(self) -> None:
         vm, now = self._rng.randrange(VMS), self._now
-        self._books[vm].expire(now)
-        placement = self._books[vm].place(
+        self._schedulers[vm].expire(now)
+        placement = self._schedulers[vm].place(
             self._engines, limits=LIMITS, prompt_tokens=PROMPT, memory_tokens=MEMORY, now=now
         )
         assert placement is not None
@@ -108,45 +110,45 @@
             memory_tokens=MEMORY,
             service="engines",
         )
-        self._tell(vm, lambda book: book.begin(run, self._now))
-        read_at = self._read(engine)
-        self._plan(read_at, lambda: self._flow(vm, run))
-        if now > LEARNT_S:
-            self.first_events_s.append(read_at - now)
-
-    def _read(self, engine: str) -> float:
-        """Give when the engine has read a prompt that arrives now."""
-        begins_at = max(self._now, self._read_until.get(engine, 0.0))
-        self._read_until[engine] = self._done_at(engine, begins_at, READING_S)
-        return self._read_until[engine]
+        self._broadcast(vm, lambda scheduler: scheduler.record_dispatch(run, self._now))
+        prefill_ends_at = self._prefill(engine)
+        self._schedule(prefill_ends_at, lambda: self._on_first_event(vm, run))
+        if now > WARM_UP_S:
+            self.first_events_s.append(prefill_ends_at - now)
+
+    def _prefill(self, engine: str) -> float:
+        """Return when the engine finishes the prefill of a prompt that arrives now."""
+        begins_at = max(self._now, self._prefill_until.get(engine, 0.0))
+        self._prefill_until[engine] = self._done_at(engine, begins_at, PREFILL_S)
+        return self._prefill_until[engine]
 
     def _done_at(self, engine: str, at: float, usual_s: float) -> float:
-        """Give when an engine has done work that it begins then, through its slow moments."""
-        left_s = usual_s * self._paces[engine]
+        """Return when an engine finishes work that it starts at ``at``, with its slow periods."""
+        left_s = usual_s * self._relative_times[engine]
         while left_s > STEP_S / 2:
             left_s -= STEP_S / self._slowness(engine, at)
             at += STEP_S
         return at
 
-    def _flow(self, vm: int, run: BookedRun) -> None:
-        slowness = self._slowness(run.engine, self._now) if self.tells else None
+    def _on_first_event(self, vm: int, run: BookedRun) -> None:
+        slowness = self._slowness(run.engine, self._now) if self.reports_slowness else None
         load = ToldLoad(running=1.0, waiting=0.0, slots=16.0, slowness=slowness)
         word = LoadWord(target=run.engine, load=load, at=self._now)
 
-        def heard(book: EngineScheduler) -> None:
-            book.flows(run.request, self._now)
-            book.loads.passed_on(word)
+        def update(scheduler: EngineScheduler) -> None:
+            scheduler.record_first_event(run.request, self._now)
+            scheduler.loads.passed_on(word)
 
-        self._tell(vm, heard)
-        done_at = self._done_at(run.engine, self._now, MAKING_S)
+        self._broadcast(vm, update)
+        done_at = self._done_at(run.engine, self._now, DECODE_S)
         token_s = (done_at - self._now) / TOKENS
-        self._plan(done_at, lambda: self._end(vm, run, token_s))
+        self._schedule(done_at, lambda: self._end(vm, run, token_s))
 
     def _end(self, vm: int, run: BookedRun, token_s: float) -> None:
-        def heard(book: EngineScheduler) -> None:
-            book.end(run.request, self._now, whole=True, token_s=token_s, tokens=TOKENS)
+        def update(scheduler: EngineScheduler) -> None:
+            scheduler.record_end(run.request, self._now, whole=True, token_s=token_s, tokens=TOKENS)
 
-        self._tell(vm, heard)
+        self._broadcast(vm, update)
 
 
 SEEDS = range(1, 4)
@@ -158,48 +160,54 @@
 ]
 
 
-def played(*, tells: bool) -> list[float]:
-    return sorted(s for seed in SEEDS for s in Day(seed=seed, tells=tells).play())
+def simulate(*, reports_slowness: bool) -> list[float]:
+    return sorted(
+        s for seed in SEEDS for s in Day(seed=seed, reports_slowness=reports_slowness).run()
+    )
 
 
 @pytest.fixture
 def switched_off() -> Iterator[None]:
-    """Do without what is on only for engines that tell how slow they are."""
+    """Switch off the mechanisms for engines that report their slowdown factor."""
     MECHANISMS.switch_off(["engine-own-pace", "slow-moments"])
     yield
     MECHANISMS.switch_off([])
 
 
-def test_streams_begin_sooner_where_engines_tell_how_slow_they_are() -> None:
-    """Guards against choices by count, which give slow engines a stream in ten or more."""
-    before, after = played(tells=False), played(tells=True)
+def test_streams_begin_sooner_if_engines_report_their_slowdown_factor() -> None:
+    """Guards against choices by number of runs, which send a tenth of streams to slow engines."""
+    before, after = simulate(reports_slowness=False), simulate(reports_slowness=True)
     at_95 = math.floor(0.95 * len(before))
     assert statistics.mean(after) < 0.93 * statistics.mean(before)
     assert after[at_95] < 0.85 * before[at_95]
 
 
-def test_without_the_mechanisms_the_choices_are_those_of_engines_that_tell_nothing(
+def test_without_the_mechanisms_reported_slowdown_factors_change_no_choice(
     switched_off: None,
 ) -> None:
-    assert Day(seed=1, tells=True).play() == Day(seed=1, tells=False).play()
+    assert Day(seed=1, reports_slowness=True).run() == Day(seed=1, reports_slowness=False).run()
 
 
-def told_book(*, seed: int = 1, **slowness: float) -> EngineScheduler:
-    """Give a book that has heard of engines at 0 s, each so slow then, and of their paces."""
-    made = EngineScheduler(rng=random.Random(seed), data_center="a")
+def scheduler_with_reports(*, seed: int = 1, **slowness: float) -> EngineScheduler:
+    """Return a scheduler with load reports of engines at 0 s, each with its slowdown factor."""
+    scheduler = EngineScheduler(rng=random.Random(seed), data_center="a")
     for engine, times in slowness.items():
         load = ToldLoad(running=0.0, waiting=0.0, slots=16.0, slowness=times)
-        made.loads.passed_on(LoadWord(target=engine, load=load, at=0.0))
-    return made
+        scheduler.loads.passed_on(LoadWord(target=engine, load=load, at=0.0))
+    return scheduler
 
 
-def shows(book: EngineScheduler, engine: str, pace: float, *, times: int = 5) -> None:
+def observe_prefills(
+    scheduler: EngineScheduler, engine: str, pace: float, *, times: int = 5
+) -> None:
     for _ in range(times):
-        book.paces.read("engines", engine, tokens=PROMPT, seconds=READING_S * pace, now=0.0)
+        scheduler.paces.observe_prefill(
+            "engines", engine, tokens=PROMPT, seconds=PREFILL_S * pace, now=0.0
+        )
 
 
-def chosen(book: EngineScheduler, now: float) -> str:
-    placement = book.place(
+def chosen(scheduler: EngineScheduler, now: float) -> str:
+    placement = scheduler.place(
         THREE, limits=LIMITS, prompt_tokens=PROMPT, memory_tokens=MEMORY, now=now
     )
     assert placement is not None
@@ -217,74 +225,79 @@
     )
 
 
-def test_a_stream_goes_past_a_slow_engine_though_it_is_idle() -> None:
+def test_a_stream_avoids_a_slow_engine_even_if_it_is_idle() -> None:
     for seed in range(20):
-        book = told_book(seed=seed, e1=1.0, e2=1.0, e3=1.0)
+        scheduler = scheduler_with_reports(seed=seed, e1=1.0, e2=1.0, e3=1.0)
         for engine, pace in (("e1", SLOW), ("e2", FAST), ("e3", SLOW)):
-            shows(book, engine, pace)
-        assert chosen(book, 0.1) == "e2"
+            observe_prefills(scheduler, engine, pace)
+        assert chosen(scheduler, 0.1) == "e2"
 
 
-def test_vms_that_choose_at_once_do_not_all_take_the_fastest_engine() -> None:
-    """Guards against a herd onto the engine that has just told that it is idle and fast."""
+def test_vms_that_choose_at_once_do_not_all_choose_the_fastest_engine() -> None:
+    """Guards against a thundering herd at an engine that has just reported to be idle and fast."""
     taken = Counter[str]()
     for seed in range(60):
-        book = told_book(seed=seed, e1=1.0, e2=1.0, e3=1.0)
+        scheduler = scheduler_with_reports(seed=seed, e1=1.0, e2=1.0, e3=1.0)
         for engine, pace in (("e1", FAST), ("e2", FAST * 1.05), ("e3", FAST * 1.1)):
-            shows(book, engine, pace)
-        taken[chosen(book, 0.1)] += 1
+            observe_prefills(scheduler, engine, pace)
+        taken[chosen(scheduler, 0.1)] += 1
     assert max(taken.values()) < 40 and len(taken) == 3, taken
 
 
-def test_one_slow_moment_does_not_make_an_engine_slow() -> None:
-    book = told_book(e1=1.0)
-    shows(book, "e1", FAST, times=3)
-    shows(book, "e2", FAST, times=3)
-    usual = book.paces.relative("engines", "e1", 0.0)
-    shows(book, "e1", FAST * MOMENT_SLOWNESS, times=1)
-    assert book.paces.relative("engines", "e1", 0.0) <= usual
-
-
-def test_a_slow_moment_costs_no_more_than_what_is_left_of_it() -> None:
-    book = told_book(e1=2.5)
-    uneven = UnevenEngines(paces=book.paces, loads=book.loads)
-    assert uneven.moment_s("e1", 0.1, 0.0) == pytest.approx(0.15)
-    assert 0.0 < uneven.moment_s("e1", 5.0, 0.3) < uneven.moment_s("e1", 5.0, 0.0) < MOMENT_S
-    assert uneven.moment_s("e1", 5.0, MOMENT_S) == 0.0
-    assert uneven.moment_s("e2", 5.0, 0.0) == 0.0
+def test_one_slow_period_does_not_make_an_engine_slow() -> None:
+    scheduler = scheduler_with_reports(e1=1.0)
+    observe_prefills(scheduler, "e1", FAST, times=3)
+    observe_prefills(scheduler, "e2", FAST, times=3)
+    usual = scheduler.paces.relative_time("engines", "e1", 0.0)
+    observe_prefills(scheduler, "e1", FAST * SLOW_PERIOD_FACTOR, times=1)
+    assert scheduler.paces.relative_time("engines", "e1", 0.0) <= usual
+
+
+def test_a_slow_period_costs_at_most_its_remaining_time() -> None:
+    scheduler = scheduler_with_reports(e1=2.5)
+    uneven = UnevenEngines(timings=scheduler.paces, loads=scheduler.loads)
+    assert uneven.slow_period_delay_s("e1", 0.1, 0.0) == pytest.approx(0.15)
+    assert (
+        0.0
+        < uneven.slow_period_delay_s("e1", 5.0, 0.3)
+        < uneven.slow_period_delay_s("e1", 5.0, 0.0)
+        < SLOW_PERIOD_S
+    )
+    assert uneven.slow_period_delay_s("e1", 5.0, SLOW_PERIOD_S) == 0.0
+    assert uneven.slow_period_delay_s("e2", 5.0, 0.0) == 0.0
 
 
-def test_the_second_look_leaves_an_engine_that_has_turned_out_slow_before_it_reads() -> None:
-    book = told_book(e1=1.0, e2=1.0, e3=1.0)
+def test_a_run_moves_away_from_a_slow_engine_before_its_prefill_ends() -> None:
+    scheduler = scheduler_with_reports(e1=1.0, e2=1.0, e3=1.0)
     for engine, pace in (("e1", SLOW), ("e2", FAST), ("e3", FAST)):
-        shows(book, engine, pace)
-    book.record_dispatch(run_at("e1"), 0.0)
-    assert book.has_better("r", THREE, limits=LIMITS, now=0.03)
-    book.record_dispatch(run_at("e2"), 0.0)
-    assert not book.has_better("r", THREE, limits=LIMITS, now=0.03)
-    book.record_dispatch(run_at("e1"), 0.0)
-    book.record_first_event("r", 0.02)
-    assert not book.has_better("r", THREE, limits=LIMITS, now=0.03)
-
-
-def test_an_engine_that_starts_again_is_judged_as_its_service_until_it_tells() -> None:
-    book = told_book(e1=2.5)
-    shows(book, "e1", SLOW)
-    shows(book, "e2", FAST, times=9)
-    uneven = UnevenEngines(paces=book.paces, loads=book.loads)
-    assert uneven.relative("engines", "e1", 0.1) > 1.2
-    book.loads.started_again("e1", 0.1)
-    assert uneven.relative("engines", "e1", 0.1) == 1.0
-    assert uneven.moment_s("e1", 1.0, 0.1) == 0.0
-
-
-def test_a_choice_tells_what_it_knew_of_the_engine_that_it_passed_over() -> None:
-    book = told_book(e1=1.0, e2=2.5)
-    shows(book, "e1", SLOW)
-    shows(book, "e2", FAST)
-    book.record_dispatch(attrs.evolve(run_at("e2"), request="flowing"), 0.0)
-    book.record_first_event("flowing", 0.0)
-    placement = book.place(
+        observe_prefills(scheduler, engine, pace)
+    scheduler.record_dispatch(run_at("e1"), 0.0)
+    assert scheduler.has_better("r", THREE, limits=LIMITS, now=0.03)
+    scheduler.record_dispatch(run_at("e2"), 0.0)
+    assert not scheduler.has_better("r", THREE, limits=LIMITS, now=0.03)
+    scheduler.record_dispatch(run_at("e1"), 0.0)
+    scheduler.record_first_event("r", 0.02)
+    assert not scheduler.has_better("r", THREE, limits=LIMITS, now=0.03)
+
+
+def test_a_restarted_engine_counts_as_usual_until_it_reports_its_slowdown_factor() -> None:
+    scheduler = scheduler_with_reports(e1=2.5)
+    observe_prefills(scheduler, "e1", SLOW)
+    observe_prefills(scheduler, "e2", FAST, times=9)
+    uneven = UnevenEngines(timings=scheduler.paces, loads=scheduler.loads)
+    assert uneven.relative_time("engines", "e1", 0.1) > 1.2
+    scheduler.loads.started_again("e1", 0.1)
+    assert uneven.relative_time("engines", "e1", 0.1) == 1.0
+    assert uneven.slow_period_delay_s("e1", 1.0, 0.1) == 0.0
+
+
+def test_a_choice_has_snapshots_of_the_chosen_and_the_rejected_engine() -> None:
+    scheduler = scheduler_with_reports(e1=1.0, e2=2.5)
+    observe_prefills(scheduler, "e1", SLOW)
+    observe_prefills(scheduler, "e2", FAST)
+    scheduler.record_dispatch(attrs.evolve(run_at("e2"), request="flowing"), 0.0)
+    scheduler.record_first_event("flowing", 0.0)
+    placement = scheduler.place(
         THREE[:2], limits=LIMITS, prompt_tokens=PROMPT, memory_tokens=MEMORY, now=0.3
     )
     assert placement is not None and placement.choice is not None
@@ -294,9 +307,9 @@
     assert (other.age_s, other.source) == (pytest.approx(0.3), LoadSource.NEWS)
 
 
-def test_a_choice_that_counting_would_make_too_tells_nothing() -> None:
-    book = told_book(e1=1.0, e2=1.0, e3=1.0)
-    placement = book.place(
+def test_a_choice_that_equal_engines_would_give_too_has_no_snapshots() -> None:
+    scheduler = scheduler_with_reports(e1=1.0, e2=1.0, e3=1.0)
+    placement = scheduler.place(
         THREE, limits=LIMITS, prompt_tokens=PROMPT, memory_tokens=MEMORY, now=0.1
     )
     assert placement is not None and placement.choice is None
