--- a/lagoonlever/decisions/engines/suspect_gathering.py
+++ b/lagoonlever/decisions/engines/suspect_gathering.py
@@ -10,7 +10,7 @@
 
 from collections.abc import Container, Mapping
 
-from lagoonlever.decisions.fleet.rendezvous import ranked
+from lagoonlever.decisions.fleet.rendezvous import rank_by_hash
 
 
 def choose_suspect_engine(
@@ -23,4 +23,4 @@
     engine, by rendezvous hashing.
     """
     names = [engine for engine, process in processes.items() if process not in ended]
-    return next(iter(ranked(names, purpose=f"suspect|{fingerprint}")), None)
+    return next(iter(rank_by_hash(names, purpose=f"suspect|{fingerprint}")), None)
--- a/lagoonlever/decisions/fleet/line_keepers.py
+++ b/lagoonlever/decisions/fleet/queue_coordinators.py
@@ -10,23 +10,23 @@
 
 from collections.abc import Iterable
 
-from lagoonlever.decisions.fleet.fellows import FellowState
-from lagoonlever.decisions.fleet.news_paths import tells_directly
-from lagoonlever.decisions.fleet.rendezvous import ranked
+from lagoonlever.decisions.fleet.peer_table import PeerState
+from lagoonlever.decisions.fleet.rendezvous import rank_by_hash
 from lagoonlever.decisions.fleet.roles import Roles
+from lagoonlever.decisions.fleet.update_routing import sends_directly
 
-NEXT_ASKED = 2
+MAX_COORDINATORS_ASKED = 2
 """VMs that are asked for a line before one goes without: the keeper, and who takes it over."""
 
 
-def line_keepers(
-    service: str, *, roles: Roles, own: str, leaving: bool, present: Iterable[FellowState]
+def queue_coordinators(
+    service: str, *, roles: Roles, own: str, leaving: bool, present: Iterable[PeerState]
 ) -> tuple[str, ...]:
     """Give the VM that keeps a service's line, and who follows it; ``own`` may be among them."""
     fellows = list(present)
     staying = {state.life.name for state in fellows if not state.leaving}
-    if not tells_directly(len(fellows)):
+    if not sends_directly(len(fellows)):
         staying &= {*roles.hubs, *roles.other_hubs}
-    if not leaving and (roles.is_hub or tells_directly(len(fellows))):
+    if not leaving and (roles.is_hub or sends_directly(len(fellows))):
         staying.add(own)
-    return tuple(ranked(staying, purpose=f"line {service}"))
+    return tuple(rank_by_hash(staying, purpose=f"line {service}"))
