--- a/lagoonlever/decisions/engines/engine_scheduler.py
+++ b/lagoonlever/decisions/engines/engine_scheduler.py
@@ -17,7 +17,7 @@
 
 import attrs
 
-from lagoonlever.decisions.admission.prompt_admission import ReadingLoad
+from lagoonlever.decisions.admission.prompt_admission import PrefillLoad
 from lagoonlever.decisions.engines.copy_capacity import loss_probability, max_copies_share
 from lagoonlever.decisions.engines.engine_avoidance import LOSSES_WINDOW_S, EngineAvoidance
 from lagoonlever.decisions.engines.engine_loads import (
@@ -268,7 +268,7 @@
         here_s = self._prefill_ahead_s(record, now) + usual_s * DECODE_COST * load.decoding
         return best_s + MIN_MOVE_GAIN * usual_s < here_s
 
-    def reading_load(self, service: str, *, engines: int, now: float) -> ReadingLoad:
+    def reading_load(self, service: str, *, engines: int, now: float) -> PrefillLoad:
         """Return the prefill load that all VMs recently put on a service.
 
         ``engines`` is the present number of its engines.
--- a/lagoonlever/decisions/engines/prefill_window.py
+++ b/lagoonlever/decisions/engines/prefill_window.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from lagoonlever.decisions.admission.prompt_admission import WINDOW_S, ReadingLoad
+from lagoonlever.decisions.admission.prompt_admission import WINDOW_S, PrefillLoad
 
 
 @attrs.define(kw_only=True)
@@ -34,7 +34,7 @@
         window.prompts.append((now, tokens))
         window.expire(now)
 
-    def load(self, service: str, *, engines: int, token_s: float, now: float) -> ReadingLoad:
+    def load(self, service: str, *, engines: int, token_s: float, now: float) -> PrefillLoad:
         """Return the prefill load of a service.
 
         ``engines`` is the present number of its engines, ``token_s`` the seconds per prompt
@@ -47,7 +47,7 @@
         max_engines = max(1, *(count for _, count in window.engines))
         tokens = sum(each for _, each in window.prompts)
         share = tokens * token_s / (WINDOW_S * max_engines)
-        return ReadingLoad(prompts=len(window.prompts), share=share)
+        return PrefillLoad(prompts=len(window.prompts), share=share)
 
     def _window(self, service: str) -> _ServiceWindow:
         if service not in self._services:
--- a/lagoonlever/decisions/streams/run_placement.py
+++ b/lagoonlever/decisions/streams/run_placement.py
@@ -17,9 +17,9 @@
 
 import attrs
 
-from lagoonlever.decisions.admission.prompt_admission import admits, most_share
+from lagoonlever.decisions.admission.prompt_admission import admits_prompt, max_prefill_share
+from lagoonlever.decisions.admission.prompt_queue import max_prefills_per_s
 from lagoonlever.decisions.admission.retry_window import RetryWindow
-from lagoonlever.decisions.admission.room_line import reading_rate
 from lagoonlever.decisions.engines.engine_scheduler import EngineScheduler
 from lagoonlever.decisions.engines.uneven_engines import UnevenChoice
 from lagoonlever.decisions.settings.configuration import EngineLimits
@@ -141,7 +141,7 @@
     """Give the prompts a second that the engines of a service can read that aren't avoided."""
     avoidance = view.book.avoidance
     calm = [e for e in view.targets.serving(service) if not avoidance.is_avoided(e.id, now)]
-    return reading_rate(len(calm), view.book.paces.usual_reading_s(service))
+    return max_prefills_per_s(len(calm), view.book.paces.usual_reading_s(service))
 
 
 def reserved_run(ask: RunAsk, placed: Placed, *, vm: str) -> BookedRun:
@@ -215,14 +215,14 @@
     making_s = paces.usual_making_s(ask.service)
     if making_s is None:
         return None
-    most = most_share(
-        making_s=making_s,
-        reading_s=paces.usual_reading_s(ask.service),
+    most = max_prefill_share(
+        decode_s=making_s,
+        prefill_s=paces.usual_reading_s(ask.service),
         allowed_s=ask.allowed_s,
         slowdown=paces.slowdown(ask.service),
     )
     engines = len(view.targets.serving(ask.service))
     load = view.book.reading_load(ask.service, engines=engines, now=now)
-    if admits(load, most=most):
+    if admits_prompt(load, max_share=most):
         return None
     return Overloaded(share=load.share, most=most)
--- a/lagoonlever/gateway/call_places.py
+++ b/lagoonlever/gateway/call_places.py
@@ -13,8 +13,12 @@
 import logbook
 import trio
 
-from lagoonlever.decisions.admission.call_line import RENEW_S, CallEnd
-from lagoonlever.decisions.admission.room import RefusedWithReturn, RoomGiven, WaitInLine
+from lagoonlever.decisions.admission.call_queue import RENEW_INTERVAL_S, CallEnd
+from lagoonlever.decisions.admission.capacity import (
+    CapacityGranted,
+    QueuedForCapacity,
+    RejectedWithRetryAfter,
+)
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS, gives
 from lagoonlever.decisions.targets.call_desks import desks_of, groups_of
 from lagoonlever.decisions.targets.listed_target import ListedTarget
@@ -63,7 +67,7 @@
     """The VM that gave it."""
 
 
-PlaceOutcome = CallPlace | RefusedWithReturn | None
+PlaceOutcome = CallPlace | RejectedWithRetryAfter | None
 """None where the VM chooses by itself."""
 
 
@@ -178,10 +182,10 @@
 
     def _outcome(self, told: PlaceTold, question: _Question, desk: str) -> PlaceOutcome:
         outcome = told.outcome
-        if isinstance(outcome, RefusedWithReturn):
+        if isinstance(outcome, RejectedWithRetryAfter):
             return outcome
-        if not isinstance(outcome, RoomGiven):
-            return RefusedWithReturn(detail="no slot is free", retry_after_s=RENEW_S)
+        if not isinstance(outcome, CapacityGranted):
+            return RejectedWithRetryAfter(detail="no slot is free", retry_after_s=RENEW_INTERVAL_S)
         place = CallPlace(
             target=outcome.target,
             number=question.number,
@@ -207,7 +211,7 @@
                     told = await receive.receive()
                 if told is None or not self._waits(told, question):
                     return told
-                with trio.move_on_after(RENEW_S):
+                with trio.move_on_after(RENEW_INTERVAL_S):
                     while self._waits(told, question):
                         told = await receive.receive()
                 if not self._waits(told, question):
@@ -217,7 +221,7 @@
             self._leave_unless_given(desk, question, told)
 
     def _waits(self, told: PlaceTold, question: _Question) -> bool:
-        return question.first is None and isinstance(told.outcome, WaitInLine)
+        return question.first is None and isinstance(told.outcome, QueuedForCapacity)
 
     def _leave_unless_given(self, desk: str, question: _Question, told: PlaceTold | None) -> None:
         """Tell a desk that an attempt waits there no longer, whether its answer was lost or not."""
--- a/lagoonlever/gateway/room_desk.py
+++ b/lagoonlever/gateway/room_desk.py
@@ -12,14 +12,18 @@
 import logbook
 import trio
 
-from lagoonlever.decisions.admission.room import RefusedWithReturn, RoomAsk, WaitInLine
-from lagoonlever.decisions.admission.room_line import (
-    LEAST_RETURN_S,
-    RENEWED_WITHIN_S,
-    PlaceInLine,
-    RoomLine,
-    Turn,
-    Waiting,
+from lagoonlever.decisions.admission.capacity import (
+    CapacityRequest,
+    QueuedForCapacity,
+    RejectedWithRetryAfter,
+)
+from lagoonlever.decisions.admission.prompt_queue import (
+    MIN_RETRY_AFTER_S,
+    RENEWAL_TIMEOUT_S,
+    PriorityClass,
+    PromptQueue,
+    QueuedPrompt,
+    QueuedPromptId,
 )
 from lagoonlever.decisions.streams.run_placement import (
     BEGINS_WITHIN_S,
@@ -83,9 +87,9 @@
     _timers: TimerService
     _placer: Placer
     _tally: Tally
-    _lines: dict[str, RoomLine] = attrs.field(factory=dict)
-    _open: dict[PlaceInLine, _Open] = attrs.field(factory=dict)
-    _given: dict[PlaceInLine, _Given] = attrs.field(factory=dict)
+    _lines: dict[str, PromptQueue] = attrs.field(factory=dict)
+    _open: dict[QueuedPromptId, _Open] = attrs.field(factory=dict)
+    _given: dict[QueuedPromptId, _Given] = attrs.field(factory=dict)
     _filled: trio.Event = attrs.field(factory=trio.Event)
     _ranks_told: set[int] = attrs.field(factory=set)
 
@@ -101,13 +105,13 @@
         if not self._beliefs.known.is_set():
             return
         now, service = self._timers.now, asked.ask.service
-        place = PlaceInLine(vm=vm, number=asked.number)
+        place = QueuedPromptId(vm=vm, number=asked.number)
         given = self._given.get(place)
-        if given is not None and now - given.at <= RENEWED_WITHIN_S:
+        if given is not None and now - given.at <= RENEWAL_TIMEOUT_S:
             reply(given.told)
             return
-        line = self._lines.setdefault(service, RoomLine())
-        is_new = line.ask(self._waiting(place, asked, now))
+        line = self._lines.setdefault(service, PromptQueue())
+        is_new = line.enqueue_or_renew(self._waiting(place, asked, now))
         if not is_new:
             self._tell_waiting(place, line)
             return
@@ -117,12 +121,12 @@
             self._tell_waiting(place, line)
             self._log_queued(place, line)
 
-    def left(self, place: PlaceInLine, service: str) -> None:
+    def left(self, place: QueuedPromptId, service: str) -> None:
         """Drop a question that is open no more."""
         self._open.pop(place, None)
         line = self._lines.get(service)
         if line is not None:
-            line.leave(place)
+            line.remove(place)
 
     async def _receive_asks(self) -> None:
         async for received in self._bus.subscribe(LineAsk, capacity=MOST_WAITING):
@@ -134,7 +138,7 @@
 
     async def _receive_left(self) -> None:
         async for received in self._bus.subscribe(LineLeft):
-            place = PlaceInLine(vm=received.sender.name, number=received.message.number)
+            place = QueuedPromptId(vm=received.sender.name, number=received.message.number)
             self.left(place, received.message.service)
 
     async def _look(self) -> None:
@@ -148,36 +152,44 @@
                 await self._filled.wait()
             await trio.sleep(LOOK_S)
 
-    def _waiting(self, place: PlaceInLine, asked: LineAsk, now: float) -> Waiting:
+    def _waiting(self, place: QueuedPromptId, asked: LineAsk, now: float) -> QueuedPrompt:
         """Translate a question's durations into times of this VM's clock."""
         need, ask = asked.need, asked.ask
         reading_s = self._beliefs.book.paces.reading_s(ask.service, "", ask.prompt_tokens, now)
         making_s = self._beliefs.book.paces.usual_making_s(ask.service) or 0.0
-        room = RoomAsk(
-            request=ask.request,
+        room = CapacityRequest(
+            request_id=ask.request,
             service=ask.service,
             rank=need.rank,
-            arrived=now - need.waited_s,
+            arrived_at=now - need.waited_s,
             start_by=now + need.first_event_in_s - reading_s - LEAD_S,
             end_by=now + need.end_in_s - reading_s - making_s,
         )
-        return Waiting(place=place, ask=room, asked=now, heard=now, broken_off=need.broken_off)
+        return QueuedPrompt(
+            prompt_id=place,
+            request=room,
+            enqueued_at=now,
+            renewed_at=now,
+            interrupted=need.broken_off,
+        )
 
-    def _serve(self, service: str, line: RoomLine) -> None:
+    def _serve(self, service: str, line: PromptQueue) -> None:
         """Give places to the first in line while engines are ready for them."""
         now = self._timers.now
         for silent in line.expire(now):
-            self._open.pop(silent.place, None)
-            events.LINE_LEFT.log(log, request=silent.ask.request, vm=silent.place.vm)
-        for hopeless in line.hopeless(now):
-            if self._open[hopeless.place].asked.need.refusable:
-                self._turn_away(hopeless.place, line, _time_over())
+            self._open.pop(silent.prompt_id, None)
+            events.LINE_LEFT.log(log, request=silent.request.request_id, vm=silent.prompt_id.vm)
+        for hopeless in line.unfinishable(now):
+            if self._open[hopeless.prompt_id].asked.need.refusable:
+                self._turn_away(hopeless.prompt_id, line, _time_over())
         view = self._placer.view(service)
         passed_by = 0
-        for waiting in line.order(now, most_per_s=ready_rate(service, view, now)):
-            asked = self._open[waiting.place].asked
-            if self._beliefs.book.is_dispatched_after(waiting.ask.request, waiting.asked):
-                self.left(waiting.place, service)
+        for waiting in line.order(now, max_per_s=ready_rate(service, view, now)):
+            asked = self._open[waiting.prompt_id].asked
+            if self._beliefs.book.is_dispatched_after(
+                waiting.request.request_id, waiting.enqueued_at
+            ):
+                self.left(waiting.prompt_id, service)
                 continue
             outcome = self._decide(asked.ask, line)
             if not isinstance(outcome, NoRoom):
@@ -189,43 +201,45 @@
         if self._open:
             self._filled.set()
 
-    def _decide(self, ask: RunAsk, line: RoomLine) -> RunOutcome | NoRoom:
+    def _decide(self, ask: RunAsk, line: PromptQueue) -> RunOutcome | NoRoom:
         # Chance would only part those who do not know of each other: this VM places them all.
         ask, now = attrs.evolve(ask, crowd=False, allowed_s=None), self._timers.now
         view = self._placer.view(ask.service)
-        if line.is_stalled(now, most_per_s=ready_rate(ask.service, view, now)):
+        if line.is_stalled(now, max_per_s=ready_rate(ask.service, view, now)):
             return place_run(ask, view, now)
         return place_where_ready(ask, view, now)
 
-    def _give(self, waiting: Waiting, line: RoomLine, outcome: RunOutcome) -> None:
+    def _give(self, waiting: QueuedPrompt, line: PromptQueue, outcome: RunOutcome) -> None:
         """Tell a VM what was decided, and keep its place until it tells of the run."""
-        now, place = self._timers.now, waiting.place
+        now, place = self._timers.now, waiting.prompt_id
         question = self._open.pop(place)
         ask = question.asked.ask
         if isinstance(outcome, Placed):
             self._beliefs.book.reserve(reserved_run(ask, outcome, vm=place.vm), now)
-            line.given(place, now)
+            line.record_start(place, now)
             self._log_begun(waiting, line, outcome)
         else:
-            line.leave(place)
+            line.remove(place)
         pace = self._beliefs.book.paces.kept().get(ask.service)
         decided = PlacementTold.of(place.number, outcome, pace)
         self._answer(place, question, LineTold(number=place.number, decided=decided))
 
-    def _refuse(self, place: PlaceInLine, line: RoomLine) -> bool:
-        """Turn away a prompt that the line can't reach in its time."""
+    def _refuse(self, place: QueuedPromptId, line: PromptQueue) -> bool:
+        """PriorityClass away a prompt that the line can't reach in its time."""
         question, now = self._open[place], self._timers.now
         ask = question.asked.ask
         if not question.asked.need.refusable:
             return False
-        most_per_s = ready_rate(ask.service, self._placer.view(ask.service), now)
-        refused = line.refusal(place, now, most_per_s=most_per_s)
+        max_per_s = ready_rate(ask.service, self._placer.view(ask.service), now)
+        refused = line.rejection(place, now, max_per_s=max_per_s)
         if refused is None:
             return False
         self._turn_away(place, line, refused)
         return True
 
-    def _turn_away(self, place: PlaceInLine, line: RoomLine, refused: RefusedWithReturn) -> None:
+    def _turn_away(
+        self, place: QueuedPromptId, line: PromptQueue, refused: RejectedWithRetryAfter
+    ) -> None:
         question, waiting = self._open[place], len(line)
         ask = question.asked.ask
         self._count(ask.service, question.asked.need.rank, "refused")
@@ -242,21 +256,21 @@
             seconds=round(refused.retry_after_s, 2),
         )
 
-    def _answer(self, place: PlaceInLine, question: _Open, told: LineTold) -> None:
+    def _answer(self, place: QueuedPromptId, question: _Open, told: LineTold) -> None:
         """Tell the last of a question, and keep it for as long as it may be asked again."""
         now = self._timers.now
         for former, given in list(self._given.items()):
-            if now - given.at <= RENEWED_WITHIN_S:
+            if now - given.at <= RENEWAL_TIMEOUT_S:
                 break
             del self._given[former]
         self._given[place] = _Given(told=told, at=now)
         question.reply(told)
 
-    def _tell_waiting(self, place: PlaceInLine, line: RoomLine) -> None:
-        waits = WaitInLine(seconds=RENEW_S, ahead=line.ahead_of(place))
+    def _tell_waiting(self, place: QueuedPromptId, line: PromptQueue) -> None:
+        waits = QueuedForCapacity(seconds=RENEW_S, ahead=line.count_ahead(place))
         self._open[place].reply(LineTold(number=place.number, waits=waits))
 
-    def _log_queued(self, place: PlaceInLine, line: RoomLine) -> None:
+    def _log_queued(self, place: QueuedPromptId, line: PromptQueue) -> None:
         asked, now = self._open[place].asked, self._timers.now
         view = self._placer.view(asked.ask.service)
         events.LINE_QUEUED.log(
@@ -264,54 +278,56 @@
             request=asked.ask.request,
             service=asked.ask.service,
             rank=asked.need.rank,
-            ahead=line.ahead_of(place),
+            ahead=line.count_ahead(place),
             in_time_s=round(asked.need.first_event_in_s, 2),
             per_s=round(ready_rate(asked.ask.service, view, now), 1),
         )
 
-    def _tell_late(self, service: str, line: RoomLine) -> None:
+    def _tell_late(self, service: str, line: PromptQueue) -> None:
         """Tell once of each prompt that the line could not reach in its time."""
         now = self._timers.now
         for waiting in line.waiting:
-            question = self._open[waiting.place]
-            if question.told_late or waiting.turn(now) is not Turn.LATE:
+            question = self._open[waiting.prompt_id]
+            if question.told_late or waiting.priority_class(now) is not PriorityClass.LATE:
                 continue
             question.told_late = True
             events.LINE_PASSED_BY.log(
                 log,
-                request=waiting.ask.request,
+                request=waiting.request.request_id,
                 service=service,
-                rank=waiting.ask.rank,
-                seconds=round(now - waiting.asked, 2),
+                rank=waiting.request.rank,
+                seconds=round(now - waiting.enqueued_at, 2),
                 waiting=len(line),
             )
 
-    def _log_begun(self, waiting: Waiting, line: RoomLine, placed: Placed) -> None:
+    def _log_begun(self, waiting: QueuedPrompt, line: PromptQueue, placed: Placed) -> None:
         now = self._timers.now
-        at_once = now <= waiting.asked
-        self._count(waiting.ask.service, waiting.ask.rank, "at-once" if at_once else "begun")
+        at_once = now <= waiting.enqueued_at
+        self._count(
+            waiting.request.service, waiting.request.rank, "at-once" if at_once else "begun"
+        )
         if at_once:
             return
         events.LINE_BEGUN.log(
             log,
-            request=waiting.ask.request,
-            service=waiting.ask.service,
-            rank=waiting.ask.rank,
+            request=waiting.request.request_id,
+            service=waiting.request.service,
+            rank=waiting.request.rank,
             engine=placed.engine,
-            seconds=round(now - waiting.asked, 3),
+            seconds=round(now - waiting.enqueued_at, 3),
             waiting=len(line),
-            left_s=round(waiting.ask.start_by - now, 2),
+            left_s=round(waiting.request.start_by - now, 2),
         )
 
     def _count(self, service: str, rank: int, outcome: str) -> None:
         self._tally.add(metrics.LINE_OUTCOMES, service, str(rank), outcome)
 
-    def _measure(self, service: str, line: RoomLine) -> None:
+    def _measure(self, service: str, line: PromptQueue) -> None:
         """Tell the length and age of a line by rank; ranks that have gone are told as 0."""
         now = self._timers.now
         by_rank: dict[int, list[float]] = {}
         for waiting in line.waiting:
-            by_rank.setdefault(waiting.ask.rank, []).append(now - waiting.asked)
+            by_rank.setdefault(waiting.request.rank, []).append(now - waiting.enqueued_at)
         for rank in {*by_rank, *self._ranks_told}:
             ages = by_rank.get(rank, [])
             self._tally.set(metrics.LINE_LENGTH, len(ages), service, str(rank))
@@ -319,6 +335,6 @@
         self._ranks_told.update(by_rank)
 
 
-def _time_over() -> RefusedWithReturn:
+def _time_over() -> RejectedWithRetryAfter:
     detail = "its answer could not end in its caller's time any more"
-    return RefusedWithReturn(detail=detail, retry_after_s=LEAST_RETURN_S)
+    return RejectedWithRetryAfter(detail=detail, retry_after_s=MIN_RETRY_AFTER_S)
