--- a/lagoonlever/decisions/engines/engine_scheduler.py
+++ b/lagoonlever/decisions/engines/engine_scheduler.py
@@ -117,7 +117,7 @@
         """Every run that was sent to an engine and is not known to have ended."""
         return tuple(r.run for r in self._records if r.ended_at is None and r.sent)
 
-    def last_run_of(self, part: str) -> BookedRun | None:
+    def find_unfinished_run(self, part: str) -> BookedRun | None:
         """Return the last run of a prompt segment unless its answer was whole, or None.
 
         ``part`` is the id of the segment that only this prompt has, which identifies a caller
--- a/lagoonlever/gateway/placer.py
+++ b/lagoonlever/gateway/placer.py
@@ -121,7 +121,7 @@
 
         A run that has given no event is none to go on from.
         """
-        run = self._beliefs.book.last_run_of(part)
+        run = self._beliefs.book.find_unfinished_run(part)
         if run is not None and run.flowing:
             return FormerRunTold(number=number, run=run)
         if not returning:
--- a/lagoonlever/tests/engine_book_tests.py
+++ b/lagoonlever/tests/engine_book_tests.py
@@ -150,7 +150,7 @@
     scheduler.record_dispatch(run("r1", "e1", part="p1", copy=copy), 0.0)
     scheduler.record_first_event("r1", 0.5)
     scheduler.record_vm_loss("vm-1", 1.0)
-    former = scheduler.last_run_of("p1")
+    former = scheduler.find_unfinished_run("p1")
     assert former is not None and former.copy == copy and former.flowing
 
 
@@ -158,7 +158,7 @@
     scheduler = new_scheduler()
     scheduler.record_dispatch(run("r1", "e1", part="p1"), 0.0)
     scheduler.record_end("r1", 1.0, whole=True)
-    assert scheduler.last_run_of("p1") is None
+    assert scheduler.find_unfinished_run("p1") is None
 
 
 def test_the_runs_of_a_lost_vm_no_longer_count_as_load() -> None:
@@ -175,7 +175,7 @@
     scheduler.record_dispatch(run("r1", "e1", part="p1"), 0.0)
     scheduler.record_end("r1", 1.0, whole=False)
     scheduler.expire(100.0)
-    assert scheduler.last_run_of("p1") is None
+    assert scheduler.find_unfinished_run("p1") is None
 
 
 def test_one_broken_answer_does_not_make_an_engine_avoided() -> None:
--- a/lagoonlever/tests/run_placement_tests.py
+++ b/lagoonlever/tests/run_placement_tests.py
@@ -99,7 +99,7 @@
     book.reserve(reserved_run(ASK, placed, vm="vm-1"), 0.0)
     assert not book.is_dispatched("r1")
     assert book.open_runs == ()
-    assert book.last_run_of("p1") is None
+    assert book.find_unfinished_run("p1") is None
     book.record_dispatch(booked(ASK, placed), 0.01)
     assert book.is_dispatched("r1")
     book.reserve(reserved_run(ASK, Placed(engine="e2"), vm="vm-1"), 0.5)
