--- a/lagoonlever/bench/stream_day_model.py
+++ b/lagoonlever/bench/stream_day_model.py
@@ -229,7 +229,7 @@
         return True
 
     def _place(self, stream: ModelStream, step: Place, now: float) -> None:
-        placement = self._book.place(
+        placement = self._book.choose_engine(
             self._listed.values(),
             limits=self._limits,
             prompt_tokens=stream.prompt,
--- a/lagoonlever/decisions/engines/engine_scheduler.py
+++ b/lagoonlever/decisions/engines/engine_scheduler.py
@@ -128,7 +128,7 @@
             return None
         return record.run
 
-    def place(
+    def choose_engine(
         self,
         engines: Iterable[ListedTarget],
         *,
--- a/lagoonlever/tests/engine_book_tests.py
+++ b/lagoonlever/tests/engine_book_tests.py
@@ -69,7 +69,7 @@
     scheduler = new_scheduler()
     for name in ("e1", "e2", "e3"):
         scheduler.record_dispatch(run(f"r-{name}", name), 0.0)
-    placement = scheduler.place(
+    placement = scheduler.choose_engine(
         ENGINES, limits=LIMITS, prompt_tokens=PROMPT, memory_tokens=MEMORY, now=0.0
     )
     assert placement is not None and placement.expected_s > 2 * PROMPT * PRIOR_PROMPT_TOKEN_S
--- a/lagoonlever/tests/engine_paces_tests.py
+++ b/lagoonlever/tests/engine_paces_tests.py
@@ -152,7 +152,7 @@
         scheduler.record_dispatch(run(f"g{number}", "e3"), 5.0)
         scheduler.record_first_event(f"g{number}", 5.1)
     limits = attrs.evolve(LIMITS, memory_tokens=200_000)
-    placement = scheduler.place(
+    placement = scheduler.choose_engine(
         ENGINES, limits=limits, prompt_tokens=PROMPT, memory_tokens=9_000, now=10.0
     )
     assert placement is not None and placement.engine.id == "e3"
--- a/lagoonlever/tests/uneven_engines_tests.py
+++ b/lagoonlever/tests/uneven_engines_tests.py
@@ -97,7 +97,7 @@
     def _arrive(self) -> None:
         vm, now = self._rng.randrange(VMS), self._now
         self._schedulers[vm].expire(now)
-        placement = self._schedulers[vm].place(
+        placement = self._schedulers[vm].choose_engine(
             self._engines, limits=LIMITS, prompt_tokens=PROMPT, memory_tokens=MEMORY, now=now
         )
         assert placement is not None
@@ -297,7 +297,7 @@
     observe_prefills(scheduler, "e2", FAST)
     scheduler.record_dispatch(attrs.evolve(run_at("e2"), request="flowing"), 0.0)
     scheduler.record_first_event("flowing", 0.0)
-    placement = scheduler.place(
+    placement = scheduler.choose_engine(
         THREE[:2], limits=LIMITS, prompt_tokens=PROMPT, memory_tokens=MEMORY, now=0.3
     )
     assert placement is not None and placement.choice is not None
@@ -309,7 +309,7 @@
 
 def test_a_choice_that_equal_engines_would_give_too_has_no_snapshots() -> None:
     scheduler = scheduler_with_reports(e1=1.0, e2=1.0, e3=1.0)
-    placement = scheduler.place(
+    placement = scheduler.choose_engine(
         THREE, limits=LIMITS, prompt_tokens=PROMPT, memory_tokens=MEMORY, now=0.1
     )
     assert placement is not None and placement.choice is None
