--- a/lagoonlever/bench/stream_day_model.py
+++ b/lagoonlever/bench/stream_day_model.py
@@ -283,7 +283,7 @@
     def _copy_of(self, stream: ModelStream, engine: ModelEngine, now: float) -> RunCopy | None:
         if not self._policy.copies:
             return None
-        holder = self._book.place_copy(
+        holder = self._book.choose_copy_holder(
             self._listed.values(),
             limits=self._limits,
             beside=self._listed.get(engine.id) or _unlisted(engine),
--- a/lagoonlever/decisions/engines/engine_scheduler.py
+++ b/lagoonlever/decisions/engines/engine_scheduler.py
@@ -191,7 +191,7 @@
         without="the prefill is repeated after a loss",
         plain=gives(None),
     )
-    def place_copy(
+    def choose_copy_holder(
         self,
         engines: Iterable[ListedTarget],
         *,
