--- a/lagoonlever/decisions/engines/engine_scheduler.py
+++ b/lagoonlever/decisions/engines/engine_scheduler.py
@@ -238,7 +238,7 @@
         without="it stays where it was placed",
         plain=gives(False),
     )
-    def has_better(
+    def should_move(
         self, request: str, engines: Iterable[ListedTarget], *, limits: EngineLimits, now: float
     ) -> bool:
         """Check whether a run should leave its engine, as others were placed there with it.
--- a/lagoonlever/gateway/stream_attempt.py
+++ b/lagoonlever/gateway/stream_attempt.py
@@ -451,7 +451,7 @@
         serving = self._tools.words.unlimited(serving)
         request, limits = self._accepted.request_id, self._plan.limits
         book = self._tools.beliefs.book
-        if book.has_better(request, serving, limits=limits, now=self._now):
+        if book.should_move(request, serving, limits=limits, now=self._now):
             raise _Moved
 
     def _copied(self, copy: RunCopy) -> None:
--- a/lagoonlever/tests/engine_book_tests.py
+++ b/lagoonlever/tests/engine_book_tests.py
@@ -131,7 +131,7 @@
         scheduler = new_scheduler()
         for offset, request in enumerate(("ra", "rb", "rc")):
             scheduler.record_dispatch(run(request, "e1", vm=f"vm-{request}"), 0.002 * offset)
-        if not scheduler.has_better(own, ENGINES, limits=LIMITS, now=0.03):
+        if not scheduler.should_move(own, ENGINES, limits=LIMITS, now=0.03):
             stays.append(own)
     assert stays == ["ra"]
 
@@ -141,7 +141,7 @@
     for name in ("e1", "e2", "e3"):
         scheduler.record_dispatch(run(f"a-{name}", name), 0.0)
         scheduler.record_dispatch(run(f"b-{name}", name), 0.0)
-    assert not scheduler.has_better("b-e1", ENGINES, limits=LIMITS, now=0.03)
+    assert not scheduler.should_move("b-e1", ENGINES, limits=LIMITS, now=0.03)
 
 
 def test_a_run_is_found_by_the_id_of_its_own_prompt_segment() -> None:
--- a/lagoonlever/tests/uneven_engines_tests.py
+++ b/lagoonlever/tests/uneven_engines_tests.py
@@ -272,12 +272,12 @@
     for engine, pace in (("e1", SLOW), ("e2", FAST), ("e3", FAST)):
         observe_prefills(scheduler, engine, pace)
     scheduler.record_dispatch(run_at("e1"), 0.0)
-    assert scheduler.has_better("r", THREE, limits=LIMITS, now=0.03)
+    assert scheduler.should_move("r", THREE, limits=LIMITS, now=0.03)
     scheduler.record_dispatch(run_at("e2"), 0.0)
-    assert not scheduler.has_better("r", THREE, limits=LIMITS, now=0.03)
+    assert not scheduler.should_move("r", THREE, limits=LIMITS, now=0.03)
     scheduler.record_dispatch(run_at("e1"), 0.0)
     scheduler.record_first_event("r", 0.02)
-    assert not scheduler.has_better("r", THREE, limits=LIMITS, now=0.03)
+    assert not scheduler.should_move("r", THREE, limits=LIMITS, now=0.03)
 
 
 def test_a_restarted_engine_counts_as_usual_until_it_reports_its_slowdown_factor() -> None:
