--- a/lagoonlever/decisions/engines/engine_scheduler.py
+++ b/lagoonlever/decisions/engines/engine_scheduler.py
@@ -378,7 +378,7 @@
             if record.run.vm == vm and record.ended_at is None:
                 record.ended_at = now
 
-    def forget_others(self, vm: str) -> None:
+    def forget_other_vms(self, vm: str) -> None:
         """Remove the runs of all VMs but ``vm``, which no longer receives their updates.
 
         The ends of these runs would never be recorded, and engines that were busy once would
--- a/lagoonlever/gateway/peers.py
+++ b/lagoonlever/gateway/peers.py
@@ -143,7 +143,7 @@
     def _keep_book(self, _: Tick) -> None:
         """Let go of what was heard before others were left to hear it."""
         if not self.holds_book():
-            self._beliefs.book.forget_others(self._vm)
+            self._beliefs.book.forget_other_vms(self._vm)
 
     async def _receive_lists(self) -> None:
         async for received in self._bus.subscribe(RunList):
