--- a/lagoonlever/decisions/engines/crash_suspects.py
+++ b/lagoonlever/decisions/engines/crash_suspects.py
@@ -104,7 +104,7 @@
     """The last whole answer to each request that had crashes, the oldest first."""
 
     @property
-    def ends(self) -> CrashesByRequest:
+    def crashes(self) -> CrashesByRequest:
         """All crashes that are remembered."""
         return self._crashes
 
--- a/lagoonlever/entry/engines/crashes.py
+++ b/lagoonlever/entry/engines/crashes.py
@@ -81,7 +81,7 @@
 
     def refusal(self, spec: GenerationSpec) -> NotRun | None:
         """Give what the caller of a barred prompt is told, or None where it may run."""
-        if not self._suspects.ends:
+        if not self._suspects.crashes:
             return None
         bar = self._suspects.bar(_fingerprint(spec), self._timers.now)
         if bar is None:
@@ -94,13 +94,15 @@
 
     def gathering_place(self, spec: GenerationSpec, engines: Iterable[Target]) -> str | None:
         """Give which of the engines all returns of a request go to, or None for any of them."""
-        if not self._suspects.ends:
+        if not self._suspects.crashes:
             return None
         fingerprint = _fingerprint(spec)
         if not self._suspects.is_next_to_last(fingerprint):
             return None
         processes = {engine.name: process_name(engine.name, None) for engine in engines}
-        return choose_suspect_engine(fingerprint, processes, ended=self._suspects.ends[fingerprint])
+        return choose_suspect_engine(
+            fingerprint, processes, ended=self._suspects.crashes[fingerprint]
+        )
 
     async def look(self, spec: GenerationSpec, target: Target, *, sent_at: float) -> None:
         """Note that an engine ended under a request that got no token of it, if it has ended."""
--- a/lagoonlever/gateway/crash_news.py
+++ b/lagoonlever/gateway/crash_news.py
@@ -67,7 +67,7 @@
 
         It was not there to hear of the ends when they were told.
         """
-        told = self._kept_ends(self._suspects.ends)
+        told = self._kept_ends(self._suspects.crashes)
         if told.ends:
             self._bus.send(newcomer, told)
 
--- a/lagoonlever/gateway/crash_watch.py
+++ b/lagoonlever/gateway/crash_watch.py
@@ -107,13 +107,13 @@
 
     def is_barred(self, accepted: Accepted) -> bool:
         """Tell whether a request may not run now."""
-        ends = self._suspects.ends
+        ends = self._suspects.crashes
         now = self._timers.now
         return bool(ends) and self._suspects.bar(accepted.fingerprint, now) is not None
 
     def refusal(self, accepted: Accepted) -> NotRun | None:
         """Give what the caller of a barred request is told, or None where it may run."""
-        if not self._suspects.ends:
+        if not self._suspects.crashes:
             return None
         bar = self._suspects.bar(accepted.fingerprint, self._timers.now)
         if bar is None:
@@ -127,7 +127,7 @@
 
     def is_suspect(self, accepted: Accepted) -> bool:
         """Tell whether a target has ended under a request."""
-        return bool(self._suspects.ends) and self._suspects.count(accepted.fingerprint) > 0
+        return bool(self._suspects.crashes) and self._suspects.count(accepted.fingerprint) > 0
 
     def gathering_place(self, accepted: Accepted, *, avoid: Container[str] = ()) -> str | None:
         """Give the engine where all returns of a request go, or None where each may go anywhere."""
@@ -140,7 +140,7 @@
             for engine in self._beliefs.targets.serving(accepted.service)
             if engine.id not in avoid and not avoidance.is_avoided(engine.id, now)
         }
-        return choose_suspect_engine(fingerprint, able, ended=self._suspects.ends[fingerprint])
+        return choose_suspect_engine(fingerprint, able, ended=self._suspects.crashes[fingerprint])
 
     @contextlib.contextmanager
     def until_barred(self, accepted: Accepted, *, leaves: str | None = None) -> Iterator[None]:
@@ -226,7 +226,7 @@
     def _take_news(self) -> None:
         """End what may not go on after ends were noted or told."""
         self._note_barred()
-        for fingerprint in self._open.keys() & self._suspects.ends.keys():
+        for fingerprint in self._open.keys() & self._suspects.crashes.keys():
             for work in self._open[fingerprint]:
                 if self._is_misplaced(work):
                     work.scope.cancel()
--- a/lagoonlever/tests/crash_suspects_tests.py
+++ b/lagoonlever/tests/crash_suspects_tests.py
@@ -61,7 +61,7 @@
     suspects.ended_under("f1", "d", Crash(at=later))
     assert suspects.bar("f1", later) is not None
     suspects.expire(later + RETENTION_S + 1.0)
-    assert not suspects.ends
+    assert not suspects.crashes
 
 
 def test_one_crash_reported_by_several_vms_counts_once() -> None:
@@ -106,7 +106,7 @@
     late = {"f1": {"a": Crash(at=10.0 + LATE_NEWS_S)}, "f2": {"a": Crash(at=10.1)}}
     assert suspects.cleared_here(late) == {"f1"}
     assert suspects.learn(late)
-    assert set(suspects.ends) == {"f2"}
+    assert set(suspects.crashes) == {"f2"}
     later = {"f1": {"a": Crash(at=10.1 + LATE_NEWS_S)}}
     assert not suspects.cleared_here(later)
     assert suspects.learn(later)
@@ -115,7 +115,7 @@
 def test_cleared_crashes_do_not_return_with_an_older_copy_of_the_store() -> None:
     """Guards against a store restored from before the answer, which reports its crashes again."""
     suspects = suspects_of(("a", WEIGHT_STARTED), ("b", WEIGHT_STARTED))
-    restored = {"f1": dict(suspects.ends["f1"])}
+    restored = {"f1": dict(suspects.crashes["f1"])}
     assert suspects.served("f1", 5.0, is_own=False)
     suspects.expire(5.0 + CLEARING_RETENTION_S)
     assert suspects.cleared(restored) == {"f1"}
@@ -257,7 +257,7 @@
     for number in range(2 * MAX_SUSPECTS):
         suspects.ended_under(f"call-{number}", "d", Crash(at=10.0))
     assert suspects.bar("f1", 10.0) is not None
-    assert len(suspects.ends) == MAX_SUSPECTS
+    assert len(suspects.crashes) == MAX_SUSPECTS
 
 
 @given(crashes=CRASHES, seed=st.integers(0, 100))
@@ -285,7 +285,7 @@
     """Guards against a stored record of thousands of requests, which a VM reads at its start."""
     suspects = suspects_of(("a", WEIGHT_STARTED), ("b", WEIGHT_STARTED), ("c", WEIGHT_STARTED))
     suspects.learn({f"r{n}": {"x": Crash(at=5.0), "y": Crash(at=5.0)} for n in range(10_000)})
-    assert len(suspects.ends) == MAX_SUSPECTS
+    assert len(suspects.crashes) == MAX_SUSPECTS
     assert suspects.barred == {"f1"}
 
 
