--- a/lagoonlever/decisions/engines/crash_suspects.py
+++ b/lagoonlever/decisions/engines/crash_suspects.py
@@ -109,7 +109,7 @@
         return self._crashes
 
     @property
-    def barred(self) -> frozenset[str]:
+    def blocked(self) -> frozenset[str]:
         """The requests that are taken for causes, also those whose block is over."""
         return self._blocked
 
--- a/lagoonlever/gateway/crash_watch.py
+++ b/lagoonlever/gateway/crash_watch.py
@@ -238,7 +238,7 @@
 
     def _note_barred(self) -> None:
         """Tell of requests that are barred from now on, and end the work on them."""
-        new, self._barred = self._suspects.barred - self._barred, self._suspects.barred
+        new, self._barred = self._suspects.blocked - self._barred, self._suspects.blocked
         for fingerprint in new:
             bar = self._suspects.bar(fingerprint, self._timers.now)
             if bar is None:
--- a/lagoonlever/tests/crash_suspects_tests.py
+++ b/lagoonlever/tests/crash_suspects_tests.py
@@ -217,31 +217,31 @@
 
 def test_two_requests_always_together_are_blocked_after_twice_as_many_crashes() -> None:
     """Guards against a poison request never blocked, as another one is always beside it."""
-    assert not crashed_together(*"abcde").barred
-    assert crashed_together(*"abcdef").barred == {"f1", "f2"}
+    assert not crashed_together(*"abcde").blocked
+    assert crashed_together(*"abcdef").blocked == {"f1", "f2"}
 
 
 def test_a_bystander_at_one_crash_does_not_delay_the_block() -> None:
     suspects = suspects_of(("a", WEIGHT_STARTED), ("b", WEIGHT_STARTED), ("c", WEIGHT_STARTED))
     for number in range(12):
         suspects.ended_under(f"stream-{number}", "abc"[number % 3], Crash(at=float(number % 3)))
-    assert suspects.barred == {"f1"}
+    assert suspects.blocked == {"f1"}
 
 
 def test_a_request_that_was_only_queued_explains_no_crash_of_a_started_one() -> None:
     suspects = suspects_of(("a", WEIGHT_STARTED), ("b", WEIGHT_STARTED), ("c", WEIGHT_STARTED))
     for at, process in enumerate("abc"):
         suspects.ended_under("f2", process, Crash(at=float(at), weight=WEIGHT_QUEUED))
-    assert suspects.barred == {"f1"}
+    assert suspects.blocked == {"f1"}
 
 
 def test_reports_long_after_a_block_do_not_lift_it() -> None:
     suspects = crashed_together("a", "b", "c", last_delay_s=0.0)
     late = crashed_together("a", "b", "c", last_delay_s=0.0)
-    assert not suspects.barred and not late.barred
+    assert not suspects.blocked and not late.blocked
     alone = suspects_of(("a", WEIGHT_STARTED), ("b", WEIGHT_STARTED), ("c", WEIGHT_STARTED))
     alone.learn({"f2": {p: Crash(at=at + 2 * LATE_NEWS_S) for at, p in enumerate("abc")}})
-    assert alone.barred == {"f1"}
+    assert alone.blocked == {"f1"}
 
 
 def test_a_process_that_crashed_before_is_known() -> None:
@@ -286,7 +286,7 @@
     suspects = suspects_of(("a", WEIGHT_STARTED), ("b", WEIGHT_STARTED), ("c", WEIGHT_STARTED))
     suspects.learn({f"r{n}": {"x": Crash(at=5.0), "y": Crash(at=5.0)} for n in range(10_000)})
     assert len(suspects.crashes) == MAX_SUSPECTS
-    assert suspects.barred == {"f1"}
+    assert suspects.blocked == {"f1"}
 
 
 @given(weight=st.floats(), at=st.floats(allow_nan=False))
