--- a/lagoonlever/decisions/engines/crash_suspects.py
+++ b/lagoonlever/decisions/engines/crash_suspects.py
@@ -113,7 +113,7 @@
         """The requests that are taken for causes, also those whose block is over."""
         return self._blocked
 
-    def ended_under(self, fingerprint: str, process: str, crash: Crash) -> bool:
+    def record_crash(self, fingerprint: str, process: str, crash: Crash) -> bool:
         """Record a crash of a process under a request; return whether it adds information.
 
         Each VM that had the request at the process reports the same crash; it counts once, with
--- a/lagoonlever/entry/engines/crashes.py
+++ b/lagoonlever/entry/engines/crashes.py
@@ -110,7 +110,7 @@
         if await _accepts(target) or self._suspects.has_ended(process, sent_at):
             return
         fingerprint, now = _fingerprint(spec), self._timers.now
-        if not self._suspects.ended_under(
+        if not self._suspects.record_crash(
             fingerprint, process, Crash(at=now, weight=WEIGHT_STARTED)
         ):
             return
--- a/lagoonlever/gateway/crash_watch.py
+++ b/lagoonlever/gateway/crash_watch.py
@@ -205,7 +205,7 @@
         fingerprint = accepted.fingerprint
         process = process_name(target.id, target.started_ms)
         end = Crash(at=self._timers.now, weight=weight)
-        if not self._suspects.ended_under(fingerprint, process, end):
+        if not self._suspects.record_crash(fingerprint, process, end):
             return False
         events.TARGET_ENDED_UNDER.log(
             log,
--- a/lagoonlever/tests/crash_news_tests.py
+++ b/lagoonlever/tests/crash_news_tests.py
@@ -30,7 +30,7 @@
 
     def sees_end(self, process: str) -> None:
         """Note and tell an end under the one request of these tests."""
-        self.suspects.ended_under("f1", process, Crash(at=trio.current_time()))
+        self.suspects.record_crash("f1", process, Crash(at=trio.current_time()))
         told = EndTold(fingerprint="f1", process=process, age_s=0.0, weight=WEIGHT_STARTED)
         self.news.tell(TargetsEnded(ends=(told,)))
 
--- a/lagoonlever/tests/crash_suspects_tests.py
+++ b/lagoonlever/tests/crash_suspects_tests.py
@@ -40,14 +40,14 @@
     """Return the registry after crashes under one request, each of a process with its weight."""
     suspects = CrashSuspects()
     for at, (process, weight) in enumerate(crashes):
-        suspects.ended_under("f1", process, Crash(at=float(at), weight=weight))
+        suspects.record_crash("f1", process, Crash(at=float(at), weight=weight))
     return suspects
 
 
 def test_the_third_crash_blocks_a_request_for_a_while() -> None:
     suspects = suspects_of(("a", WEIGHT_STARTED), ("b", WEIGHT_STARTED))
     assert suspects.bar("f1", 2.0) is None
-    suspects.ended_under("f1", "c", Crash(at=2.0))
+    suspects.record_crash("f1", "c", Crash(at=2.0))
     block = suspects.bar("f1", 2.0)
     assert block is not None and (block.ended, block.for_s) == (3, BLOCK_S)
     assert suspects.bar("f2", 2.0) is None
@@ -58,7 +58,7 @@
     later = 3.0 + BLOCK_S
     suspects.expire(later)
     assert suspects.bar("f1", later) is None
-    suspects.ended_under("f1", "d", Crash(at=later))
+    suspects.record_crash("f1", "d", Crash(at=later))
     assert suspects.bar("f1", later) is not None
     suspects.expire(later + RETENTION_S + 1.0)
     assert not suspects.crashes
@@ -67,8 +67,8 @@
 def test_one_crash_reported_by_several_vms_counts_once() -> None:
     """Guards against a crash counted twice, as two VMs had a retry of the request at the target."""
     suspects = suspects_of(("a", WEIGHT_STARTED))
-    assert not suspects.ended_under("f1", "a", Crash(at=1.0))
-    assert not suspects.ended_under("f1", "a", Crash(at=1.0, weight=WEIGHT_QUEUED))
+    assert not suspects.record_crash("f1", "a", Crash(at=1.0))
+    assert not suspects.record_crash("f1", "a", Crash(at=1.0, weight=WEIGHT_QUEUED))
     assert suspects.count("f1") == 1
 
 
@@ -80,14 +80,14 @@
 def test_a_crash_counts_half_for_a_request_that_may_only_have_been_queued() -> None:
     suspects = suspects_of(*((name, WEIGHT_QUEUED) for name in "abcde"))
     assert suspects.bar("f1", 5.0) is None
-    suspects.ended_under("f1", "f", Crash(at=5.0, weight=WEIGHT_QUEUED))
+    suspects.record_crash("f1", "f", Crash(at=5.0, weight=WEIGHT_QUEUED))
     assert suspects.bar("f1", 5.0) is not None
 
 
 def test_a_report_that_the_request_had_started_raises_the_weight_of_a_crash() -> None:
     suspects = suspects_of(("a", WEIGHT_QUEUED), ("b", WEIGHT_STARTED), ("c", WEIGHT_STARTED))
     assert suspects.bar("f1", 3.0) is None
-    assert suspects.ended_under("f1", "a", Crash(at=3.0, weight=WEIGHT_STARTED))
+    assert suspects.record_crash("f1", "a", Crash(at=3.0, weight=WEIGHT_STARTED))
     assert suspects.bar("f1", 3.0) is not None
 
 
@@ -95,7 +95,7 @@
     suspects = suspects_of(("a", WEIGHT_STARTED), ("b", WEIGHT_STARTED))
     assert suspects.served("f1", 2.0, is_own=True)
     assert not suspects.served("f1", 2.0, is_own=True)
-    suspects.ended_under("f1", "c", Crash(at=2.0))
+    suspects.record_crash("f1", "c", Crash(at=2.0))
     assert suspects.bar("f1", 2.0) is None
 
 
@@ -138,7 +138,7 @@
 def test_a_crash_that_this_vm_saw_after_an_answer_counts() -> None:
     suspects = CrashSuspects()
     suspects.served("f1", 10.0, is_own=True)
-    assert suspects.ended_under("f1", "a", Crash(at=10.1))
+    assert suspects.record_crash("f1", "a", Crash(at=10.1))
 
 
 def test_answers_are_remembered_for_a_moment_and_up_to_a_bound() -> None:
@@ -166,7 +166,7 @@
         ("c", WEIGHT_QUEUED),
         ("d", WEIGHT_QUEUED),
     ):
-        suspects.ended_under("f2", process, Crash(at=4.0, weight=weight))
+        suspects.record_crash("f2", process, Crash(at=4.0, weight=weight))
     assert suspects.bar("f1", 5.0) is not None
     assert suspects.bar("f2", 5.0) is None
 
@@ -175,10 +175,10 @@
     """Two requests crash engines, three of them together; then the first one is blocked."""
     suspects = suspects_of(*((process, WEIGHT_STARTED) for process in "abcd"))
     for process in "abc":
-        suspects.ended_under("f2", process, Crash(at=4.0))
+        suspects.record_crash("f2", process, Crash(at=4.0))
     assert suspects.bar("f2", 5.0) is None
     for process in "ef":
-        suspects.ended_under("f2", process, Crash(at=5.0))
+        suspects.record_crash("f2", process, Crash(at=5.0))
     assert suspects.bar("f1", 5.0) is not None
     assert suspects.bar("f2", 5.0) is not None
 
@@ -187,20 +187,20 @@
     """Return the registry after crashes under a poison request, f1, and a bystander, f2."""
     suspects = CrashSuspects()
     for at, process in enumerate(processes):
-        suspects.ended_under("f2", process, Crash(at=float(at)))
+        suspects.record_crash("f2", process, Crash(at=float(at)))
         delay_s = last_delay_s if process == processes[-1] else 0.0
-        suspects.ended_under("f1", process, Crash(at=at + delay_s))
+        suspects.record_crash("f1", process, Crash(at=at + delay_s))
     return suspects
 
 
 def test_a_bystander_at_three_crashes_is_not_blocked_if_its_third_is_reported_first() -> None:
     """Guards against a stream refused for minutes, as a poison request was beside it each time."""
     suspects = crashed_together("a", "b")
-    suspects.ended_under("f2", "c", Crash(at=2.0))
+    suspects.record_crash("f2", "c", Crash(at=2.0))
     assert suspects.bar("f2", 2.0) is None
-    suspects.ended_under("f1", "c", Crash(at=2.025))
+    suspects.record_crash("f1", "c", Crash(at=2.025))
     assert suspects.bar("f2", 2.1) is None
-    suspects.ended_under("f1", "d", Crash(at=3.0))
+    suspects.record_crash("f1", "d", Crash(at=3.0))
     assert suspects.bar("f2", 3.0) is None
     assert suspects.served("f2", 4.0, is_own=True)
     assert suspects.bar("f1", 4.0) is not None
@@ -208,9 +208,9 @@
 
 def test_two_more_crashes_identify_the_cause_beside_a_bystander_that_is_never_answered() -> None:
     suspects = crashed_together("a", "b", "c", last_delay_s=0.025)
-    suspects.ended_under("f1", "d", Crash(at=3.0))
+    suspects.record_crash("f1", "d", Crash(at=3.0))
     assert suspects.bar("f1", 3.0) is None
-    suspects.ended_under("f1", "e", Crash(at=4.0))
+    suspects.record_crash("f1", "e", Crash(at=4.0))
     assert suspects.bar("f1", 4.0) is not None
     assert suspects.bar("f2", 4.0) is None
 
@@ -224,14 +224,14 @@
 def test_a_bystander_at_one_crash_does_not_delay_the_block() -> None:
     suspects = suspects_of(("a", WEIGHT_STARTED), ("b", WEIGHT_STARTED), ("c", WEIGHT_STARTED))
     for number in range(12):
-        suspects.ended_under(f"stream-{number}", "abc"[number % 3], Crash(at=float(number % 3)))
+        suspects.record_crash(f"stream-{number}", "abc"[number % 3], Crash(at=float(number % 3)))
     assert suspects.blocked == {"f1"}
 
 
 def test_a_request_that_was_only_queued_explains_no_crash_of_a_started_one() -> None:
     suspects = suspects_of(("a", WEIGHT_STARTED), ("b", WEIGHT_STARTED), ("c", WEIGHT_STARTED))
     for at, process in enumerate("abc"):
-        suspects.ended_under("f2", process, Crash(at=float(at), weight=WEIGHT_QUEUED))
+        suspects.record_crash("f2", process, Crash(at=float(at), weight=WEIGHT_QUEUED))
     assert suspects.blocked == {"f1"}
 
 
@@ -255,7 +255,7 @@
     """A service's targets crash with hundreds of calls, each of which has one crash."""
     suspects = suspects_of(("a", WEIGHT_STARTED), ("b", WEIGHT_STARTED), ("c", WEIGHT_STARTED))
     for number in range(2 * MAX_SUSPECTS):
-        suspects.ended_under(f"call-{number}", "d", Crash(at=10.0))
+        suspects.record_crash(f"call-{number}", "d", Crash(at=10.0))
     assert suspects.bar("f1", 10.0) is not None
     assert len(suspects.crashes) == MAX_SUSPECTS
 
@@ -268,9 +268,9 @@
     random.Random(seed).shuffle(shuffled)
     here, there = CrashSuspects(), CrashSuspects()
     for fingerprint, process, crash in crashes:
-        here.ended_under(fingerprint, process, crash)
+        here.record_crash(fingerprint, process, crash)
     for fingerprint, process, crash in shuffled:
-        there.ended_under(fingerprint, process, crash)
+        there.record_crash(fingerprint, process, crash)
     for fingerprint in ("f1", "f2"):
         assert bool(here.bar(fingerprint, 50.0)) == bool(there.bar(fingerprint, 50.0))
 
--- a/lagoonlever/tests/suspect_gathering_tests.py
+++ b/lagoonlever/tests/suspect_gathering_tests.py
@@ -19,7 +19,7 @@
     """Return the registry after crashes of these weights under the request."""
     known = CrashSuspects()
     for number, weight in enumerate(weights):
-        known.ended_under("f", f"p-{number}", Crash(at=float(number), weight=weight))
+        known.record_crash("f", f"p-{number}", Crash(at=float(number), weight=weight))
     return known
 
 
