--- a/lagoonlever/commands/barred.py
+++ b/lagoonlever/commands/barred.py
@@ -49,7 +49,7 @@
     """Give a line for each request, those whose last end was latest first."""
     known = {fingerprint: processes for fingerprint, processes in ends.items() if processes}
     suspects = CrashSuspects()
-    suspects.learn(known)
+    suspects.record_reported_crashes(known)
     last = {f: max(end.at for end in processes.values()) for f, processes in known.items()}
     rows = []
     for fingerprint in sorted(last, key=lambda f: -last[f]):
--- a/lagoonlever/decisions/engines/crash_suspects.py
+++ b/lagoonlever/decisions/engines/crash_suspects.py
@@ -121,7 +121,7 @@
         """
         return self._add({fingerprint: {process: crash}})
 
-    def learn(self, crashes: CrashesByRequest) -> bool:
+    def record_reported_crashes(self, crashes: CrashesByRequest) -> bool:
         """Record crashes that other VMs saw, except those that an answer has cleared.
 
         Return whether any of them adds information.
--- a/lagoonlever/entry/engines/crashes.py
+++ b/lagoonlever/entry/engines/crashes.py
@@ -68,7 +68,7 @@
         with self._timers.subscribed(self._expire, period_s=EXPIRE_PERIOD_S):
             async for received in self._bus.subscribe(TargetsEnded):
                 ends = read_ends(received.message, self._timers.now)
-                self._suspects.learn(ends)
+                self._suspects.record_reported_crashes(ends)
                 for fingerprint in self._suspects.cleared_here(ends):
                     self._tell(RequestServed(fingerprint=fingerprint))
                 self._ends_known()
--- a/lagoonlever/gateway/crash_news.py
+++ b/lagoonlever/gateway/crash_news.py
@@ -40,7 +40,7 @@
         async for received in self._bus.subscribe(TargetsEnded):
             message = received.message
             ends = read_ends(message, self._timers.now)
-            is_news = self._suspects.learn(ends)
+            is_news = self._suspects.record_reported_crashes(ends)
             self._learnt()
             # Others count what this VM knows to be cleared: the news was late here only.
             for fingerprint in self._suspects.cleared_here(ends):
--- a/lagoonlever/gateway/crash_records.py
+++ b/lagoonlever/gateway/crash_records.py
@@ -186,5 +186,5 @@
             if processes and fingerprint not in self._served
         }
         self._served |= self._suspects.cleared(ends)
-        self._suspects.learn(ends)
+        self._suspects.record_reported_crashes(ends)
         self._learnt()
--- a/lagoonlever/tests/crash_suspects_tests.py
+++ b/lagoonlever/tests/crash_suspects_tests.py
@@ -105,11 +105,11 @@
     suspects.served("f1", 10.0, is_own=True)
     late = {"f1": {"a": Crash(at=10.0 + LATE_NEWS_S)}, "f2": {"a": Crash(at=10.1)}}
     assert suspects.cleared_here(late) == {"f1"}
-    assert suspects.learn(late)
+    assert suspects.record_reported_crashes(late)
     assert set(suspects.crashes) == {"f2"}
     later = {"f1": {"a": Crash(at=10.1 + LATE_NEWS_S)}}
     assert not suspects.cleared_here(later)
-    assert suspects.learn(later)
+    assert suspects.record_reported_crashes(later)
 
 
 def test_cleared_crashes_do_not_return_with_an_older_copy_of_the_store() -> None:
@@ -120,10 +120,10 @@
     suspects.expire(5.0 + CLEARING_RETENTION_S)
     assert suspects.cleared(restored) == {"f1"}
     assert not suspects.cleared_here(restored)
-    assert not suspects.learn(restored)
-    assert suspects.learn({"f1": {"c": Crash(at=1.0)}})
+    assert not suspects.record_reported_crashes(restored)
+    assert suspects.record_reported_crashes({"f1": {"c": Crash(at=1.0)}})
     suspects.expire(5.1 + CLEARING_RETENTION_S)
-    assert suspects.learn(restored)
+    assert suspects.record_reported_crashes(restored)
 
 
 def test_only_the_vm_that_gave_an_answer_reports_it_again() -> None:
@@ -131,7 +131,7 @@
     suspects = CrashSuspects()
     suspects.served("f1", 10.0, is_own=False)
     late = {"f1": {"a": Crash(at=10.0)}}
-    assert not suspects.learn(late)
+    assert not suspects.record_reported_crashes(late)
     assert not suspects.cleared_here(late)
 
 
@@ -145,10 +145,10 @@
     suspects = CrashSuspects()
     for number in range(MAX_ANSWERS + 1):
         suspects.served(f"f{number}", 10.0, is_own=True)
-    assert suspects.learn({"f0": {"a": Crash(at=10.0)}})
-    assert not suspects.learn({"f1": {"a": Crash(at=10.0)}})
+    assert suspects.record_reported_crashes({"f0": {"a": Crash(at=10.0)}})
+    assert not suspects.record_reported_crashes({"f1": {"a": Crash(at=10.0)}})
     suspects.expire(10.1 + LATE_NEWS_S)
-    assert suspects.learn({"f1": {"a": Crash(at=10.0)}})
+    assert suspects.record_reported_crashes({"f1": {"a": Crash(at=10.0)}})
 
 
 def test_crashes_that_a_cause_explains_count_less_for_other_requests() -> None:
@@ -240,7 +240,9 @@
     late = crashed_together("a", "b", "c", last_delay_s=0.0)
     assert not suspects.blocked and not late.blocked
     alone = suspects_of(("a", WEIGHT_STARTED), ("b", WEIGHT_STARTED), ("c", WEIGHT_STARTED))
-    alone.learn({"f2": {p: Crash(at=at + 2 * LATE_NEWS_S) for at, p in enumerate("abc")}})
+    alone.record_reported_crashes(
+        {"f2": {p: Crash(at=at + 2 * LATE_NEWS_S) for at, p in enumerate("abc")}}
+    )
     assert alone.blocked == {"f1"}
 
 
@@ -284,7 +286,9 @@
 def test_a_report_of_more_requests_than_the_bound_is_trimmed() -> None:
     """Guards against a stored record of thousands of requests, which a VM reads at its start."""
     suspects = suspects_of(("a", WEIGHT_STARTED), ("b", WEIGHT_STARTED), ("c", WEIGHT_STARTED))
-    suspects.learn({f"r{n}": {"x": Crash(at=5.0), "y": Crash(at=5.0)} for n in range(10_000)})
+    suspects.record_reported_crashes(
+        {f"r{n}": {"x": Crash(at=5.0), "y": Crash(at=5.0)} for n in range(10_000)}
+    )
     assert len(suspects.crashes) == MAX_SUSPECTS
     assert suspects.blocked == {"f1"}
 
