--- a/lagoonlever/decisions/engines/crash_suspects.py
+++ b/lagoonlever/decisions/engines/crash_suspects.py
@@ -136,7 +136,7 @@
         }
         return self._add({f: processes for f, processes in counted.items() if processes})
 
-    def has_ended(self, process: str, before: float) -> bool:
+    def has_crashed(self, process: str, before: float) -> bool:
         """Check whether a crash of a process is known from before the given time."""
         known = (processes.get(process) for processes in self._crashes.values())
         return any(crash is not None and crash.at < before for crash in known)
--- a/lagoonlever/entry/engines/crashes.py
+++ b/lagoonlever/entry/engines/crashes.py
@@ -107,7 +107,7 @@
     async def look(self, spec: GenerationSpec, target: Target, *, sent_at: float) -> None:
         """Note that an engine ended under a request that got no token of it, if it has ended."""
         process = process_name(target.name, None)
-        if await _accepts(target) or self._suspects.has_ended(process, sent_at):
+        if await _accepts(target) or self._suspects.has_crashed(process, sent_at):
             return
         fingerprint, now = _fingerprint(spec), self._timers.now
         if not self._suspects.record_crash(
--- a/lagoonlever/gateway/crash_watch.py
+++ b/lagoonlever/gateway/crash_watch.py
@@ -172,7 +172,7 @@
         Waits a moment for the record: a VM that does not hear others learns what they saw
         before it sends the request to the next target.
         """
-        if self._suspects.has_ended(process_name(target.id, target.started_ms), sent_at):
+        if self._suspects.has_crashed(process_name(target.id, target.started_ms), sent_at):
             return
         if not self._note(accepted, target, weight):
             return
--- a/lagoonlever/tests/crash_suspects_tests.py
+++ b/lagoonlever/tests/crash_suspects_tests.py
@@ -248,9 +248,9 @@
 
 def test_a_process_that_crashed_before_is_known() -> None:
     suspects = suspects_of(("a", WEIGHT_STARTED), ("b", WEIGHT_STARTED))
-    assert suspects.has_ended("b", 1.5)
-    assert not suspects.has_ended("b", 0.5)
-    assert not suspects.has_ended("c", 1.5)
+    assert suspects.has_crashed("b", 1.5)
+    assert not suspects.has_crashed("b", 0.5)
+    assert not suspects.has_crashed("c", 1.5)
 
 
 def test_many_crashes_do_not_evict_a_blocked_request() -> None:
