--- a/lagoonlever/decisions/engines/crash_suspects.py
+++ b/lagoonlever/decisions/engines/crash_suspects.py
@@ -141,7 +141,7 @@
         known = (processes.get(process) for processes in self._crashes.values())
         return any(crash is not None and crash.at < before for crash in known)
 
-    def cleared(self, crashes: CrashesByRequest) -> frozenset[str]:
+    def find_cleared(self, crashes: CrashesByRequest) -> frozenset[str]:
         """Return the requests that were answered after these crashes, or just before the report."""
         return frozenset(
             fingerprint
--- a/lagoonlever/gateway/crash_records.py
+++ b/lagoonlever/gateway/crash_records.py
@@ -185,6 +185,6 @@
             for fingerprint, processes in stored.items()
             if processes and fingerprint not in self._served
         }
-        self._served |= self._suspects.cleared(ends)
+        self._served |= self._suspects.find_cleared(ends)
         self._suspects.record_reported_crashes(ends)
         self._learnt()
--- a/lagoonlever/tests/crash_suspects_tests.py
+++ b/lagoonlever/tests/crash_suspects_tests.py
@@ -118,7 +118,7 @@
     restored = {"f1": dict(suspects.crashes["f1"])}
     assert suspects.served("f1", 5.0, is_own=False)
     suspects.expire(5.0 + CLEARING_RETENTION_S)
-    assert suspects.cleared(restored) == {"f1"}
+    assert suspects.find_cleared(restored) == {"f1"}
     assert not suspects.cleared_here(restored)
     assert not suspects.record_reported_crashes(restored)
     assert suspects.record_reported_crashes({"f1": {"c": Crash(at=1.0)}})
