--- a/lagoonlever/decisions/engines/crash_suspects.py
+++ b/lagoonlever/decisions/engines/crash_suspects.py
@@ -150,7 +150,7 @@
             if self._clearing_answer(fingerprint, process, crash) is not None
         )
 
-    def cleared_here(self, crashes: CrashesByRequest) -> frozenset[str]:
+    def find_cleared_here(self, crashes: CrashesByRequest) -> frozenset[str]:
         """Return those of the requests in ``cleared`` that this VM has answered."""
         return frozenset(
             fingerprint
--- a/lagoonlever/entry/engines/crashes.py
+++ b/lagoonlever/entry/engines/crashes.py
@@ -69,7 +69,7 @@
             async for received in self._bus.subscribe(TargetsEnded):
                 ends = read_ends(received.message, self._timers.now)
                 self._suspects.record_reported_crashes(ends)
-                for fingerprint in self._suspects.cleared_here(ends):
+                for fingerprint in self._suspects.find_cleared_here(ends):
                     self._tell(RequestServed(fingerprint=fingerprint))
                 self._ends_known()
 
--- a/lagoonlever/gateway/crash_news.py
+++ b/lagoonlever/gateway/crash_news.py
@@ -43,7 +43,7 @@
             is_news = self._suspects.record_reported_crashes(ends)
             self._learnt()
             # Others count what this VM knows to be cleared: the news was late here only.
-            for fingerprint in self._suspects.cleared_here(ends):
+            for fingerprint in self._suspects.find_cleared_here(ends):
                 self.tell(RequestServed(fingerprint=fingerprint))
             if is_news:
                 self._pass_on(message, source=received.sender.name)
--- a/lagoonlever/tests/crash_suspects_tests.py
+++ b/lagoonlever/tests/crash_suspects_tests.py
@@ -104,11 +104,11 @@
     suspects = CrashSuspects()
     suspects.served("f1", 10.0, is_own=True)
     late = {"f1": {"a": Crash(at=10.0 + LATE_NEWS_S)}, "f2": {"a": Crash(at=10.1)}}
-    assert suspects.cleared_here(late) == {"f1"}
+    assert suspects.find_cleared_here(late) == {"f1"}
     assert suspects.record_reported_crashes(late)
     assert set(suspects.crashes) == {"f2"}
     later = {"f1": {"a": Crash(at=10.1 + LATE_NEWS_S)}}
-    assert not suspects.cleared_here(later)
+    assert not suspects.find_cleared_here(later)
     assert suspects.record_reported_crashes(later)
 
 
@@ -119,7 +119,7 @@
     assert suspects.served("f1", 5.0, is_own=False)
     suspects.expire(5.0 + CLEARING_RETENTION_S)
     assert suspects.find_cleared(restored) == {"f1"}
-    assert not suspects.cleared_here(restored)
+    assert not suspects.find_cleared_here(restored)
     assert not suspects.record_reported_crashes(restored)
     assert suspects.record_reported_crashes({"f1": {"c": Crash(at=1.0)}})
     suspects.expire(5.1 + CLEARING_RETENTION_S)
@@ -132,7 +132,7 @@
     suspects.served("f1", 10.0, is_own=False)
     late = {"f1": {"a": Crash(at=10.0)}}
     assert not suspects.record_reported_crashes(late)
-    assert not suspects.cleared_here(late)
+    assert not suspects.find_cleared_here(late)
 
 
 def test_a_crash_that_this_vm_saw_after_an_answer_counts() -> None:
