--- a/lagoonlever/decisions/engines/crash_suspects.py
+++ b/lagoonlever/decisions/engines/crash_suspects.py
@@ -159,7 +159,7 @@
             if (answer := self._clearing_answer(fingerprint, process, crash)) and answer.is_own
         )
 
-    def served(self, fingerprint: str, now: float, *, is_own: bool) -> bool:
+    def record_answer(self, fingerprint: str, now: float, *, is_own: bool) -> bool:
         """Record a whole answer to a request; return whether it cleared crashes.
 
         ``is_own`` is true if this VM gave the answer.
--- a/lagoonlever/entry/engines/crashes.py
+++ b/lagoonlever/entry/engines/crashes.py
@@ -77,7 +77,7 @@
         """Take which requests were served after all, until cancelled."""
         async for received in self._bus.subscribe(RequestServed):
             fingerprint = received.message.fingerprint
-            self._suspects.served(fingerprint, self._timers.now, is_own=False)
+            self._suspects.record_answer(fingerprint, self._timers.now, is_own=False)
 
     def refusal(self, spec: GenerationSpec) -> NotRun | None:
         """Give what the caller of a barred prompt is told, or None where it may run."""
@@ -129,7 +129,7 @@
     def served(self, spec: GenerationSpec) -> None:
         """Note that an engine gave a whole answer: the prompt ends none."""
         fingerprint = _fingerprint(spec)
-        if self._suspects.served(fingerprint, self._timers.now, is_own=True):
+        if self._suspects.record_answer(fingerprint, self._timers.now, is_own=True):
             self._tell(RequestServed(fingerprint=fingerprint))
 
     def _tell(self, message: TargetsEnded | RequestServed) -> None:
--- a/lagoonlever/gateway/crash_news.py
+++ b/lagoonlever/gateway/crash_news.py
@@ -55,7 +55,7 @@
             # Whoever has written the record takes it out there: the VM that served it may never
             # have seen the record.
             self._served(message.fingerprint)
-            if self._suspects.served(message.fingerprint, self._timers.now, is_own=False):
+            if self._suspects.record_answer(message.fingerprint, self._timers.now, is_own=False):
                 self._pass_on(message, source=received.sender.name)
 
     def tell(self, message: CrashMessage) -> None:
--- a/lagoonlever/gateway/crash_watch.py
+++ b/lagoonlever/gateway/crash_watch.py
@@ -190,7 +190,7 @@
     def served(self, accepted: Accepted) -> None:
         """Note that a target has answered a request whole: it ends no target."""
         fingerprint = accepted.fingerprint
-        if not self._suspects.served(fingerprint, self._timers.now, is_own=True):
+        if not self._suspects.record_answer(fingerprint, self._timers.now, is_own=True):
             return
         events.REQUEST_CLEARED.log(log, fingerprint=fingerprint, request=accepted.request_id)
         self._news.tell(RequestServed(fingerprint=fingerprint))
--- a/lagoonlever/tests/crash_suspects_tests.py
+++ b/lagoonlever/tests/crash_suspects_tests.py
@@ -93,8 +93,8 @@
 
 def test_a_whole_answer_clears_the_crashes_of_a_request() -> None:
     suspects = suspects_of(("a", WEIGHT_STARTED), ("b", WEIGHT_STARTED))
-    assert suspects.served("f1", 2.0, is_own=True)
-    assert not suspects.served("f1", 2.0, is_own=True)
+    assert suspects.record_answer("f1", 2.0, is_own=True)
+    assert not suspects.record_answer("f1", 2.0, is_own=True)
     suspects.record_crash("f1", "c", Crash(at=2.0))
     assert suspects.bar("f1", 2.0) is None
 
@@ -102,7 +102,7 @@
 def test_a_crash_reported_just_after_an_answer_does_not_count() -> None:
     """Guards against late reports of crashes from before the answer that clears them."""
     suspects = CrashSuspects()
-    suspects.served("f1", 10.0, is_own=True)
+    suspects.record_answer("f1", 10.0, is_own=True)
     late = {"f1": {"a": Crash(at=10.0 + LATE_NEWS_S)}, "f2": {"a": Crash(at=10.1)}}
     assert suspects.find_cleared_here(late) == {"f1"}
     assert suspects.record_reported_crashes(late)
@@ -116,7 +116,7 @@
     """Guards against a store restored from before the answer, which reports its crashes again."""
     suspects = suspects_of(("a", WEIGHT_STARTED), ("b", WEIGHT_STARTED))
     restored = {"f1": dict(suspects.crashes["f1"])}
-    assert suspects.served("f1", 5.0, is_own=False)
+    assert suspects.record_answer("f1", 5.0, is_own=False)
     suspects.expire(5.0 + CLEARING_RETENTION_S)
     assert suspects.find_cleared(restored) == {"f1"}
     assert not suspects.find_cleared_here(restored)
@@ -129,7 +129,7 @@
 def test_only_the_vm_that_gave_an_answer_reports_it_again() -> None:
     """Guards against replies of every VM of a fleet to one late message."""
     suspects = CrashSuspects()
-    suspects.served("f1", 10.0, is_own=False)
+    suspects.record_answer("f1", 10.0, is_own=False)
     late = {"f1": {"a": Crash(at=10.0)}}
     assert not suspects.record_reported_crashes(late)
     assert not suspects.find_cleared_here(late)
@@ -137,14 +137,14 @@
 
 def test_a_crash_that_this_vm_saw_after_an_answer_counts() -> None:
     suspects = CrashSuspects()
-    suspects.served("f1", 10.0, is_own=True)
+    suspects.record_answer("f1", 10.0, is_own=True)
     assert suspects.record_crash("f1", "a", Crash(at=10.1))
 
 
 def test_answers_are_remembered_for_a_moment_and_up_to_a_bound() -> None:
     suspects = CrashSuspects()
     for number in range(MAX_ANSWERS + 1):
-        suspects.served(f"f{number}", 10.0, is_own=True)
+        suspects.record_answer(f"f{number}", 10.0, is_own=True)
     assert suspects.record_reported_crashes({"f0": {"a": Crash(at=10.0)}})
     assert not suspects.record_reported_crashes({"f1": {"a": Crash(at=10.0)}})
     suspects.expire(10.1 + LATE_NEWS_S)
@@ -202,7 +202,7 @@
     assert suspects.bar("f2", 2.1) is None
     suspects.record_crash("f1", "d", Crash(at=3.0))
     assert suspects.bar("f2", 3.0) is None
-    assert suspects.served("f2", 4.0, is_own=True)
+    assert suspects.record_answer("f2", 4.0, is_own=True)
     assert suspects.bar("f1", 4.0) is not None
 
 
