--- a/lagoonlever/decisions/engines/crash_suspects.py
+++ b/lagoonlever/decisions/engines/crash_suspects.py
@@ -174,7 +174,7 @@
         self._blocked = find_causes(self._crashes)
         return True
 
-    def count(self, fingerprint: str) -> int:
+    def count_crashes(self, fingerprint: str) -> int:
         """Return how many processes crashed under a request."""
         return len(self._crashes.get(fingerprint, ()))
 
--- a/lagoonlever/entry/engines/crashes.py
+++ b/lagoonlever/entry/engines/crashes.py
@@ -119,7 +119,7 @@
             target=target.name,
             request=spec.request_id,
             organisation=spec.organisation,
-            ended=self._suspects.count(fingerprint),
+            ended=self._suspects.count_crashes(fingerprint),
             fingerprint=fingerprint,
         )
         told = EndTold(fingerprint=fingerprint, process=process, age_s=0.0, weight=WEIGHT_STARTED)
--- a/lagoonlever/gateway/crash_watch.py
+++ b/lagoonlever/gateway/crash_watch.py
@@ -127,7 +127,9 @@
 
     def is_suspect(self, accepted: Accepted) -> bool:
         """Tell whether a target has ended under a request."""
-        return bool(self._suspects.crashes) and self._suspects.count(accepted.fingerprint) > 0
+        return (
+            bool(self._suspects.crashes) and self._suspects.count_crashes(accepted.fingerprint) > 0
+        )
 
     def gathering_place(self, accepted: Accepted, *, avoid: Container[str] = ()) -> str | None:
         """Give the engine where all returns of a request go, or None where each may go anywhere."""
@@ -214,7 +216,7 @@
             target=target.id,
             organisation=accepted.organisation,
             route=accepted.route.name,
-            ended=self._suspects.count(fingerprint),
+            ended=self._suspects.count_crashes(fingerprint),
             weight=weight,
         )
         self._tally.add(metrics.TARGETS_ENDED, accepted.route.kind.value)
--- a/lagoonlever/tests/crash_suspects_tests.py
+++ b/lagoonlever/tests/crash_suspects_tests.py
@@ -69,7 +69,7 @@
     suspects = suspects_of(("a", WEIGHT_STARTED))
     assert not suspects.record_crash("f1", "a", Crash(at=1.0))
     assert not suspects.record_crash("f1", "a", Crash(at=1.0, weight=WEIGHT_QUEUED))
-    assert suspects.count("f1") == 1
+    assert suspects.count_crashes("f1") == 1
 
 
 def test_a_target_that_restarts_and_crashes_again_counts_again() -> None:
