--- a/lagoonlever/decisions/engines/crash_suspects.py
+++ b/lagoonlever/decisions/engines/crash_suspects.py
@@ -178,7 +178,7 @@
         """Return how many processes crashed under a request."""
         return len(self._crashes.get(fingerprint, ()))
 
-    def is_next_to_last(self, fingerprint: str) -> bool:
+    def is_one_crash_from_block(self, fingerprint: str) -> bool:
         """Check whether one more crash of full weight would block a request."""
         if fingerprint in self._blocked:
             return False
--- a/lagoonlever/entry/engines/crashes.py
+++ b/lagoonlever/entry/engines/crashes.py
@@ -97,7 +97,7 @@
         if not self._suspects.crashes:
             return None
         fingerprint = _fingerprint(spec)
-        if not self._suspects.is_next_to_last(fingerprint):
+        if not self._suspects.is_one_crash_from_block(fingerprint):
             return None
         processes = {engine.name: process_name(engine.name, None) for engine in engines}
         return choose_suspect_engine(
--- a/lagoonlever/gateway/crash_watch.py
+++ b/lagoonlever/gateway/crash_watch.py
@@ -134,7 +134,7 @@
     def gathering_place(self, accepted: Accepted, *, avoid: Container[str] = ()) -> str | None:
         """Give the engine where all returns of a request go, or None where each may go anywhere."""
         fingerprint = accepted.fingerprint
-        if not self._suspects.is_next_to_last(fingerprint):
+        if not self._suspects.is_one_crash_from_block(fingerprint):
             return None
         avoidance, now = self._beliefs.book.avoidance, self._timers.now
         able = {
--- a/lagoonlever/tests/suspect_gathering_tests.py
+++ b/lagoonlever/tests/suspect_gathering_tests.py
@@ -54,13 +54,13 @@
 
 
 def test_a_request_goes_to_one_engine_between_its_second_and_third_crash() -> None:
-    assert not suspects().is_next_to_last("f")
-    assert not suspects(WEIGHT_STARTED).is_next_to_last("f")
-    assert suspects(WEIGHT_STARTED, WEIGHT_STARTED).is_next_to_last("f")
-    assert not suspects(WEIGHT_STARTED, WEIGHT_STARTED, WEIGHT_STARTED).is_next_to_last("f")
+    assert not suspects().is_one_crash_from_block("f")
+    assert not suspects(WEIGHT_STARTED).is_one_crash_from_block("f")
+    assert suspects(WEIGHT_STARTED, WEIGHT_STARTED).is_one_crash_from_block("f")
+    assert not suspects(WEIGHT_STARTED, WEIGHT_STARTED, WEIGHT_STARTED).is_one_crash_from_block("f")
 
 
 def test_crashes_where_a_request_may_only_have_been_queued_count_half() -> None:
     """Guards against restricting streams to one engine that met crashes of a whole data centre."""
-    assert not suspects(WEIGHT_STARTED, WEIGHT_QUEUED).is_next_to_last("f")
-    assert suspects(WEIGHT_STARTED, WEIGHT_QUEUED, WEIGHT_QUEUED).is_next_to_last("f")
+    assert not suspects(WEIGHT_STARTED, WEIGHT_QUEUED).is_one_crash_from_block("f")
+    assert suspects(WEIGHT_STARTED, WEIGHT_QUEUED, WEIGHT_QUEUED).is_one_crash_from_block("f")
