--- a/lagoonlever/decisions/engines/crash_suspects.py
+++ b/lagoonlever/decisions/engines/crash_suspects.py
@@ -184,7 +184,7 @@
             return False
         return total_weight(self._crashes.get(fingerprint, {})) >= BLOCKING_WEIGHT - WEIGHT_STARTED
 
-    def kept(self) -> CrashesByRequest:
+    def crashes_to_store(self) -> CrashesByRequest:
         """Return the crashes that must outlive this VM, by request."""
         return {
             fingerprint: processes
--- a/lagoonlever/gateway/crash_news.py
+++ b/lagoonlever/gateway/crash_news.py
@@ -98,7 +98,7 @@
                     age_s=now - end.at,
                     weight=end.weight,
                 )
-                for fingerprint, processes in self._suspects.kept().items()
+                for fingerprint, processes in self._suspects.crashes_to_store().items()
                 for process, end in processes.items()
                 if fingerprint in fingerprints
             )
--- a/lagoonlever/gateway/crash_records.py
+++ b/lagoonlever/gateway/crash_records.py
@@ -150,7 +150,7 @@
     def _known(self) -> dict[str, frozenset[str]]:
         return {
             fingerprint: frozenset(processes)
-            for fingerprint, processes in self._suspects.kept().items()
+            for fingerprint, processes in self._suspects.crashes_to_store().items()
             if fingerprint not in self._served
         }
 
@@ -161,7 +161,7 @@
                 process: Crash(at=round(end.at + to_unix, 3), weight=end.weight)
                 for process, end in processes.items()
             }
-            for fingerprint, processes in self._suspects.kept().items()
+            for fingerprint, processes in self._suspects.crashes_to_store().items()
             if fingerprint not in without
         }
 
--- a/lagoonlever/tests/crash_suspects_tests.py
+++ b/lagoonlever/tests/crash_suspects_tests.py
@@ -280,7 +280,7 @@
 @pytest.mark.parametrize("count", [1, 2])
 def test_a_single_crash_is_not_written_to_the_store(count: int) -> None:
     suspects = suspects_of(*((name, WEIGHT_STARTED) for name in "ab"[:count]))
-    assert bool(suspects.kept()) == (count == 2)
+    assert bool(suspects.crashes_to_store()) == (count == 2)
 
 
 def test_a_report_of_more_requests_than_the_bound_is_trimmed() -> None:
