--- a/lagoonlever/commands/barred.py
+++ b/lagoonlever/commands/barred.py
@@ -53,7 +53,7 @@
     last = {f: max(end.at for end in processes.values()) for f, processes in known.items()}
     rows = []
     for fingerprint in sorted(last, key=lambda f: -last[f]):
-        bar = suspects.bar(fingerprint, now)
+        bar = suspects.find_block(fingerprint, now)
         state = f"refused for {bar.for_s:.0f} s" if bar is not None else "may run"
         at = datetime.fromtimestamp(last[fingerprint], UTC).isoformat(timespec="seconds")
         processes = ", ".join(sorted(known[fingerprint]))
--- a/lagoonlever/decisions/engines/crash_suspects.py
+++ b/lagoonlever/decisions/engines/crash_suspects.py
@@ -192,7 +192,7 @@
             if len(processes) >= MIN_STORED_CRASHES
         }
 
-    def bar(self, fingerprint: str, now: float) -> Bar | None:
+    def find_block(self, fingerprint: str, now: float) -> Bar | None:
         """Return why a request is refused, or None if it may run."""
         if fingerprint not in self._blocked:
             return None
--- a/lagoonlever/entry/engines/crashes.py
+++ b/lagoonlever/entry/engines/crashes.py
@@ -83,7 +83,7 @@
         """Give what the caller of a barred prompt is told, or None where it may run."""
         if not self._suspects.crashes:
             return None
-        bar = self._suspects.bar(_fingerprint(spec), self._timers.now)
+        bar = self._suspects.find_block(_fingerprint(spec), self._timers.now)
         if bar is None:
             return None
         return NotRun(
--- a/lagoonlever/gateway/crash_watch.py
+++ b/lagoonlever/gateway/crash_watch.py
@@ -109,13 +109,13 @@
         """Tell whether a request may not run now."""
         ends = self._suspects.crashes
         now = self._timers.now
-        return bool(ends) and self._suspects.bar(accepted.fingerprint, now) is not None
+        return bool(ends) and self._suspects.find_block(accepted.fingerprint, now) is not None
 
     def refusal(self, accepted: Accepted) -> NotRun | None:
         """Give what the caller of a barred request is told, or None where it may run."""
         if not self._suspects.crashes:
             return None
-        bar = self._suspects.bar(accepted.fingerprint, self._timers.now)
+        bar = self._suspects.find_block(accepted.fingerprint, self._timers.now)
         if bar is None:
             return None
         self._tally.add(metrics.BARRED, accepted.route.kind.value)
@@ -242,7 +242,7 @@
         """Tell of requests that are barred from now on, and end the work on them."""
         new, self._barred = self._suspects.blocked - self._barred, self._suspects.blocked
         for fingerprint in new:
-            bar = self._suspects.bar(fingerprint, self._timers.now)
+            bar = self._suspects.find_block(fingerprint, self._timers.now)
             if bar is None:
                 continue
             events.REQUEST_BARRED.log(
--- a/lagoonlever/tests/crash_suspects_tests.py
+++ b/lagoonlever/tests/crash_suspects_tests.py
@@ -46,20 +46,20 @@
 
 def test_the_third_crash_blocks_a_request_for_a_while() -> None:
     suspects = suspects_of(("a", WEIGHT_STARTED), ("b", WEIGHT_STARTED))
-    assert suspects.bar("f1", 2.0) is None
+    assert suspects.find_block("f1", 2.0) is None
     suspects.record_crash("f1", "c", Crash(at=2.0))
-    block = suspects.bar("f1", 2.0)
+    block = suspects.find_block("f1", 2.0)
     assert block is not None and (block.ended, block.for_s) == (3, BLOCK_S)
-    assert suspects.bar("f2", 2.0) is None
+    assert suspects.find_block("f2", 2.0) is None
 
 
 def test_after_its_block_one_more_crash_blocks_a_request_again() -> None:
     suspects = suspects_of(("a", WEIGHT_STARTED), ("b", WEIGHT_STARTED), ("c", WEIGHT_STARTED))
     later = 3.0 + BLOCK_S
     suspects.expire(later)
-    assert suspects.bar("f1", later) is None
+    assert suspects.find_block("f1", later) is None
     suspects.record_crash("f1", "d", Crash(at=later))
-    assert suspects.bar("f1", later) is not None
+    assert suspects.find_block("f1", later) is not None
     suspects.expire(later + RETENTION_S + 1.0)
     assert not suspects.crashes
 
@@ -79,16 +79,16 @@
 
 def test_a_crash_counts_half_for_a_request_that_may_only_have_been_queued() -> None:
     suspects = suspects_of(*((name, WEIGHT_QUEUED) for name in "abcde"))
-    assert suspects.bar("f1", 5.0) is None
+    assert suspects.find_block("f1", 5.0) is None
     suspects.record_crash("f1", "f", Crash(at=5.0, weight=WEIGHT_QUEUED))
-    assert suspects.bar("f1", 5.0) is not None
+    assert suspects.find_block("f1", 5.0) is not None
 
 
 def test_a_report_that_the_request_had_started_raises_the_weight_of_a_crash() -> None:
     suspects = suspects_of(("a", WEIGHT_QUEUED), ("b", WEIGHT_STARTED), ("c", WEIGHT_STARTED))
-    assert suspects.bar("f1", 3.0) is None
+    assert suspects.find_block("f1", 3.0) is None
     assert suspects.record_crash("f1", "a", Crash(at=3.0, weight=WEIGHT_STARTED))
-    assert suspects.bar("f1", 3.0) is not None
+    assert suspects.find_block("f1", 3.0) is not None
 
 
 def test_a_whole_answer_clears_the_crashes_of_a_request() -> None:
@@ -96,7 +96,7 @@
     assert suspects.record_answer("f1", 2.0, is_own=True)
     assert not suspects.record_answer("f1", 2.0, is_own=True)
     suspects.record_crash("f1", "c", Crash(at=2.0))
-    assert suspects.bar("f1", 2.0) is None
+    assert suspects.find_block("f1", 2.0) is None
 
 
 def test_a_crash_reported_just_after_an_answer_does_not_count() -> None:
@@ -167,8 +167,8 @@
         ("d", WEIGHT_QUEUED),
     ):
         suspects.record_crash("f2", process, Crash(at=4.0, weight=weight))
-    assert suspects.bar("f1", 5.0) is not None
-    assert suspects.bar("f2", 5.0) is None
+    assert suspects.find_block("f1", 5.0) is not None
+    assert suspects.find_block("f2", 5.0) is None
 
 
 def test_two_causes_with_common_crashes_are_both_found() -> None:
@@ -176,11 +176,11 @@
     suspects = suspects_of(*((process, WEIGHT_STARTED) for process in "abcd"))
     for process in "abc":
         suspects.record_crash("f2", process, Crash(at=4.0))
-    assert suspects.bar("f2", 5.0) is None
+    assert suspects.find_block("f2", 5.0) is None
     for process in "ef":
         suspects.record_crash("f2", process, Crash(at=5.0))
-    assert suspects.bar("f1", 5.0) is not None
-    assert suspects.bar("f2", 5.0) is not None
+    assert suspects.find_block("f1", 5.0) is not None
+    assert suspects.find_block("f2", 5.0) is not None
 
 
 def crashed_together(*processes: str, last_delay_s: float = 0.0) -> CrashSuspects:
@@ -197,22 +197,22 @@
     """Guards against a stream refused for minutes, as a poison request was beside it each time."""
     suspects = crashed_together("a", "b")
     suspects.record_crash("f2", "c", Crash(at=2.0))
-    assert suspects.bar("f2", 2.0) is None
+    assert suspects.find_block("f2", 2.0) is None
     suspects.record_crash("f1", "c", Crash(at=2.025))
-    assert suspects.bar("f2", 2.1) is None
+    assert suspects.find_block("f2", 2.1) is None
     suspects.record_crash("f1", "d", Crash(at=3.0))
-    assert suspects.bar("f2", 3.0) is None
+    assert suspects.find_block("f2", 3.0) is None
     assert suspects.record_answer("f2", 4.0, is_own=True)
-    assert suspects.bar("f1", 4.0) is not None
+    assert suspects.find_block("f1", 4.0) is not None
 
 
 def test_two_more_crashes_identify_the_cause_beside_a_bystander_that_is_never_answered() -> None:
     suspects = crashed_together("a", "b", "c", last_delay_s=0.025)
     suspects.record_crash("f1", "d", Crash(at=3.0))
-    assert suspects.bar("f1", 3.0) is None
+    assert suspects.find_block("f1", 3.0) is None
     suspects.record_crash("f1", "e", Crash(at=4.0))
-    assert suspects.bar("f1", 4.0) is not None
-    assert suspects.bar("f2", 4.0) is None
+    assert suspects.find_block("f1", 4.0) is not None
+    assert suspects.find_block("f2", 4.0) is None
 
 
 def test_two_requests_always_together_are_blocked_after_twice_as_many_crashes() -> None:
@@ -258,7 +258,7 @@
     suspects = suspects_of(("a", WEIGHT_STARTED), ("b", WEIGHT_STARTED), ("c", WEIGHT_STARTED))
     for number in range(2 * MAX_SUSPECTS):
         suspects.record_crash(f"call-{number}", "d", Crash(at=10.0))
-    assert suspects.bar("f1", 10.0) is not None
+    assert suspects.find_block("f1", 10.0) is not None
     assert len(suspects.crashes) == MAX_SUSPECTS
 
 
@@ -274,7 +274,7 @@
     for fingerprint, process, crash in shuffled:
         there.record_crash(fingerprint, process, crash)
     for fingerprint in ("f1", "f2"):
-        assert bool(here.bar(fingerprint, 50.0)) == bool(there.bar(fingerprint, 50.0))
+        assert bool(here.find_block(fingerprint, 50.0)) == bool(there.find_block(fingerprint, 50.0))
 
 
 @pytest.mark.parametrize("count", [1, 2])
