--- a/lagoonlever/decisions/engines/crash_suspects.py
+++ b/lagoonlever/decisions/engines/crash_suspects.py
@@ -84,7 +84,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Bar:
+class Block:
     """Why a request is refused: the number of crashes under it, and the remaining time."""
 
     ended: int
@@ -192,13 +192,13 @@
             if len(processes) >= MIN_STORED_CRASHES
         }
 
-    def find_block(self, fingerprint: str, now: float) -> Bar | None:
+    def find_block(self, fingerprint: str, now: float) -> Block | None:
         """Return why a request is refused, or None if it may run."""
         if fingerprint not in self._blocked:
             return None
         processes = self._crashes[fingerprint]
         for_s = _last_crash_at(processes) + BLOCK_S - now
-        return Bar(ended=len(processes), for_s=for_s) if for_s > 0 else None
+        return Block(ended=len(processes), for_s=for_s) if for_s > 0 else None
 
     def expire(self, now: float) -> None:
         """Remove requests without a crash for ``RETENTION_S``, and answers that are too old."""
