--- a/lagoonlever/entry/engines/crashes.py
+++ b/lagoonlever/entry/engines/crashes.py
@@ -88,7 +88,7 @@
             return None
         return NotRun(
             reason=Reason.ENDS_TARGETS,
-            message=f"{bar.ended} engines ended under this prompt",
+            message=f"{bar.crash_count} engines ended under this prompt",
             retry_after_s=bar.for_s,
         )
 
--- a/lagoonlever/gateway/crash_watch.py
+++ b/lagoonlever/gateway/crash_watch.py
@@ -121,7 +121,7 @@
         self._tally.add(metrics.BARRED, accepted.route.kind.value)
         return NotRun(
             reason=Reason.ENDS_TARGETS,
-            message=f"{bar.ended} targets ended under this request ({accepted.fingerprint})",
+            message=f"{bar.crash_count} targets ended under this request ({accepted.fingerprint})",
             retry_after_s=bar.for_s,
         )
 
@@ -246,7 +246,7 @@
             if bar is None:
                 continue
             events.REQUEST_BARRED.log(
-                log, fingerprint=fingerprint, ended=bar.ended, for_s=bar.for_s
+                log, fingerprint=fingerprint, ended=bar.crash_count, for_s=bar.for_s
             )
             for work in self._open.get(fingerprint, ()):
                 work.scope.cancel()
