--- a/lagoonlever/commands/barred.py
+++ b/lagoonlever/commands/barred.py
@@ -54,7 +54,7 @@
     rows = []
     for fingerprint in sorted(last, key=lambda f: -last[f]):
         bar = suspects.find_block(fingerprint, now)
-        state = f"refused for {bar.for_s:.0f} s" if bar is not None else "may run"
+        state = f"refused for {bar.remaining_s:.0f} s" if bar is not None else "may run"
         at = datetime.fromtimestamp(last[fingerprint], UTC).isoformat(timespec="seconds")
         processes = ", ".join(sorted(known[fingerprint]))
         rows.append(
--- a/lagoonlever/decisions/engines/crash_suspects.py
+++ b/lagoonlever/decisions/engines/crash_suspects.py
@@ -88,7 +88,7 @@
     """Why a request is refused: the number of crashes under it, and the remaining time."""
 
     crash_count: int
-    for_s: float
+    remaining_s: float
 
 
 @attrs.define(kw_only=True)
@@ -198,7 +198,7 @@
             return None
         processes = self._crashes[fingerprint]
         for_s = _last_crash_at(processes) + BLOCK_S - now
-        return Block(crash_count=len(processes), for_s=for_s) if for_s > 0 else None
+        return Block(crash_count=len(processes), remaining_s=for_s) if for_s > 0 else None
 
     def expire(self, now: float) -> None:
         """Remove requests without a crash for ``RETENTION_S``, and answers that are too old."""
--- a/lagoonlever/entry/engines/crashes.py
+++ b/lagoonlever/entry/engines/crashes.py
@@ -89,7 +89,7 @@
         return NotRun(
             reason=Reason.ENDS_TARGETS,
             message=f"{bar.crash_count} engines ended under this prompt",
-            retry_after_s=bar.for_s,
+            retry_after_s=bar.remaining_s,
         )
 
     def gathering_place(self, spec: GenerationSpec, engines: Iterable[Target]) -> str | None:
--- a/lagoonlever/gateway/crash_watch.py
+++ b/lagoonlever/gateway/crash_watch.py
@@ -122,7 +122,7 @@
         return NotRun(
             reason=Reason.ENDS_TARGETS,
             message=f"{bar.crash_count} targets ended under this request ({accepted.fingerprint})",
-            retry_after_s=bar.for_s,
+            retry_after_s=bar.remaining_s,
         )
 
     def is_suspect(self, accepted: Accepted) -> bool:
@@ -246,7 +246,7 @@
             if bar is None:
                 continue
             events.REQUEST_BARRED.log(
-                log, fingerprint=fingerprint, ended=bar.crash_count, for_s=bar.for_s
+                log, fingerprint=fingerprint, ended=bar.crash_count, for_s=bar.remaining_s
             )
             for work in self._open.get(fingerprint, ()):
                 work.scope.cancel()
--- a/lagoonlever/tests/crash_suspects_tests.py
+++ b/lagoonlever/tests/crash_suspects_tests.py
@@ -49,7 +49,7 @@
     assert suspects.find_block("f1", 2.0) is None
     suspects.record_crash("f1", "c", Crash(at=2.0))
     block = suspects.find_block("f1", 2.0)
-    assert block is not None and (block.crash_count, block.for_s) == (3, BLOCK_S)
+    assert block is not None and (block.crash_count, block.remaining_s) == (3, BLOCK_S)
     assert suspects.find_block("f2", 2.0) is None
 
 
