--- a/lagoonlever/bench/stream_day_model.py
+++ b/lagoonlever/bench/stream_day_model.py
@@ -211,14 +211,14 @@
         """Refuse a new prompt that engines can't bear; its caller may come back later."""
         if stream.life.sent or stream.life.position or not self._policy.admission:
             return False
-        making_s = self._book.paces.usual_making_s(SERVICE)
+        making_s = self._book.timings.usual_making_s(SERVICE)
         if making_s is None:
             return False
         most = max_prefill_share(
             decode_s=making_s,
-            prefill_s=self._book.paces.usual_reading_s(SERVICE),
+            prefill_s=self._book.timings.usual_reading_s(SERVICE),
             allowed_s=self._plan.deadline_s,
-            slowdown=self._book.paces.slowdown(SERVICE),
+            slowdown=self._book.timings.slowdown(SERVICE),
         )
         load = self._book.reading_load(SERVICE, engines=len(self._listed), now=now)
         if admits_prompt(load, max_share=most):
--- a/lagoonlever/decisions/engines/engine_scheduler.py
+++ b/lagoonlever/decisions/engines/engine_scheduler.py
@@ -100,7 +100,7 @@
     _last_prefill_at: dict[str, float] = attrs.field(factory=dict)
     """Time of the last finished prefill, by engine."""
     avoidance: EngineAvoidance = attrs.field(factory=EngineAvoidance)
-    paces: EngineTimings = attrs.field(factory=EngineTimings)
+    timings: EngineTimings = attrs.field(factory=EngineTimings)
     loads: TargetLoads = attrs.field(factory=TargetLoads)
     """The load reports of targets."""
 
@@ -110,7 +110,7 @@
 
     @property
     def _uneven(self) -> UnevenEngines:
-        return UnevenEngines(timings=self.paces, loads=self.loads)
+        return UnevenEngines(timings=self.timings, loads=self.loads)
 
     @property
     def open_runs(self) -> tuple[BookedRun, ...]:
@@ -170,7 +170,7 @@
         costs: dict[str, float] = {}
         for engine in candidates:
             own_s = self._uneven.prefill_s(engine.service, engine.id, prompt_tokens, now)
-            jitter_s = self._jitter(engine, crowd=crowd) * self.paces.usual_reading_s(
+            jitter_s = self._jitter(engine, crowd=crowd) * self.timings.usual_reading_s(
                 engine.service
             )
             costs[engine.id] = self._scaled_cost_s(engine, loads, limits, memory_tokens, now)
@@ -259,7 +259,7 @@
         loads, run = self._compute_loads(now), record.run
         need_tokens = run.memory_tokens
         load = loads.get(run.engine, EngineLoad())
-        usual_s = self.paces.usual_reading_s(run.service)
+        usual_s = self.timings.usual_reading_s(run.service)
         if any(self._uneven.uses_own_timings(engine.id) for engine in others):
             best_s = min(self._first_event_elsewhere_s(e, run, loads, limits, now) for e in others)
             here_s = self._first_event_here_s(record, load, now)
@@ -273,7 +273,7 @@
 
         ``engines`` is the present number of its engines.
         """
-        token_s = self.paces.reading_s(service, "", 1, now)
+        token_s = self.timings.reading_s(service, "", 1, now)
         return self._prefill_window.load(service, engines=engines, token_s=token_s, now=now)
 
     def is_dispatched(self, request: str) -> bool:
@@ -339,7 +339,7 @@
         self._last_prefill_at[run.engine] = now
         if not record.beside_prompts:
             seconds = now - record.since
-            self.paces.observe_prefill(
+            self.timings.observe_prefill(
                 run.service, run.engine, tokens=run.prompt_tokens, seconds=seconds, now=now
             )
 
@@ -366,9 +366,9 @@
         record.whole = whole
         run = record.run
         if whole:
-            self.paces.observe_answer(run.service, tokens=tokens, now=now)
+            self.timings.observe_answer(run.service, tokens=tokens, now=now)
         if token_s is not None:
-            self.paces.observe_decode(
+            self.timings.observe_decode(
                 run.service, run.engine, token_s=token_s, slowdown=slowdown, now=now
             )
 
@@ -405,12 +405,12 @@
         for engine in [e for e, at in self._last_prefill_at.items() if now - at > self._keep_s]:
             del self._last_prefill_at[engine]
         self.avoidance.expire(now)
-        self.paces.expire(now)
+        self.timings.expire(now)
 
     def _max_share_by_losses(self, service: str, *, engines: int, now: float) -> float:
         """Return the share of memory for copies at the present rate of lost engines."""
-        decode_s = self.paces.usual_making_s(service) or INITIAL_DECODE_S
-        run_s = self.paces.usual_reading_s(service) + decode_s
+        decode_s = self.timings.usual_making_s(service) or INITIAL_DECODE_S
+        run_s = self.timings.usual_reading_s(service) + decode_s
         risk = loss_probability(
             self.avoidance.losses(now), engines=engines, window_s=LOSSES_WINDOW_S, run_s=run_s
         )
@@ -441,7 +441,7 @@
 
     def _prefill_ahead_s(self, record: RunRecord, now: float) -> float:
         """Return the time of the prefills that an engine does before that of a run."""
-        per_prompt_s = PROMPT_COST * self.paces.usual_reading_s(record.run.service)
+        per_prompt_s = PROMPT_COST * self.timings.usual_reading_s(record.run.service)
         return sum(
             per_prompt_s + self._prefill_left_s(other, now)
             for other in self._records.unread_at(record.run.engine)
@@ -532,7 +532,7 @@
         """Return the time until the end of a run's prefill at its present engine."""
         run = record.run
         work_s = self._prefill_ahead_s(record, now) + self._prefill_left_s(record, now)
-        usual_s = self.paces.usual_reading_s(run.service)
+        usual_s = self.timings.usual_reading_s(run.service)
         usual_s *= self._uneven.relative_time(run.service, run.engine, now)
         delay_s = self._uneven.slow_period_delay_s(run.engine, work_s, now)
         return work_s + usual_s * DECODE_COST * load.decoding + delay_s
@@ -552,7 +552,7 @@
         service the engine takes.
         """
         load = self._load_of(loads, engine)
-        usual_s = self.paces.usual_reading_s(engine.service)
+        usual_s = self.timings.usual_reading_s(engine.service)
         cost_s = load.waiting_cost_s(relative_time * usual_s)
         if engine.data_center != self.data_center:
             cost_s += OTHER_DATA_CENTER_COST_S
--- a/lagoonlever/gateway/pace_keeper.py
+++ b/lagoonlever/gateway/pace_keeper.py
@@ -68,13 +68,13 @@
             return
         self._take()
         for service, pace in self._stored.items():
-            self._beliefs.book.paces.recall(service, pace, self._timers.now)
+            self._beliefs.book.timings.recall(service, pace, self._timers.now)
         if self._stored:
             events.PACES_RECALLED.log(log, paces=str(self._stored), revision=self._record.revision)
 
     async def _write(self) -> None:
         """Write the figures if they tell another thing than those that are stored."""
-        learnt = self._beliefs.book.paces.kept()
+        learnt = self._beliefs.book.timings.kept()
         if self._record.revision.era != self._beliefs.targets.as_of.era:
             # The store has come back from an older copy, which may not have them.
             await self._read_anew()
--- a/lagoonlever/gateway/room_desk.py
+++ b/lagoonlever/gateway/room_desk.py
@@ -155,8 +155,8 @@
     def _waiting(self, place: QueuedPromptId, asked: LineAsk, now: float) -> QueuedPrompt:
         """Translate a question's durations into times of this VM's clock."""
         need, ask = asked.need, asked.ask
-        reading_s = self._beliefs.book.paces.reading_s(ask.service, "", ask.prompt_tokens, now)
-        making_s = self._beliefs.book.paces.usual_making_s(ask.service) or 0.0
+        reading_s = self._beliefs.book.timings.reading_s(ask.service, "", ask.prompt_tokens, now)
+        making_s = self._beliefs.book.timings.usual_making_s(ask.service) or 0.0
         room = CapacityRequest(
             request_id=ask.request,
             service=ask.service,
@@ -220,7 +220,7 @@
             self._log_begun(waiting, line, outcome)
         else:
             line.remove(place)
-        pace = self._beliefs.book.paces.kept().get(ask.service)
+        pace = self._beliefs.book.timings.kept().get(ask.service)
         decided = PlacementTold.of(place.number, outcome, pace)
         self._answer(place, question, LineTold(number=place.number, decided=decided))
 
--- a/lagoonlever/tests/engine_paces_tests.py
+++ b/lagoonlever/tests/engine_paces_tests.py
@@ -122,9 +122,9 @@
         scheduler.record_dispatch(attrs.evolve(run(f"r{number}"), vm=f"vm-{number}"), 10.0 * number)
         scheduler.record_first_event(f"r{number}", 10.0 * number + 2.0)
         scheduler.record_end(f"r{number}", 10.0 * number + 9.0, whole=True, token_s=0.009)
-    assert scheduler.paces.usual_reading_s(SERVICE) == pytest.approx(2.0, rel=0.05)
-    assert scheduler.paces.reading_s(SERVICE, "e9", PROMPT, 50.0) == pytest.approx(2.0, rel=0.05)
-    assert scheduler.paces.fastest(SERVICE).token_s == pytest.approx(0.7 * 0.009, rel=0.05)
+    assert scheduler.timings.usual_reading_s(SERVICE) == pytest.approx(2.0, rel=0.05)
+    assert scheduler.timings.reading_s(SERVICE, "e9", PROMPT, 50.0) == pytest.approx(2.0, rel=0.05)
+    assert scheduler.timings.fastest(SERVICE).token_s == pytest.approx(0.7 * 0.009, rel=0.05)
 
 
 def test_a_prefill_that_waited_for_another_one_is_not_measured() -> None:
@@ -133,7 +133,7 @@
     scheduler.record_dispatch(run("r2"), 0.1)
     scheduler.record_first_event("r1", 1.0)
     scheduler.record_first_event("r2", 2.0)
-    assert scheduler.paces.reading_s(SERVICE, "e1", PROMPT, 3.0) == PROMPT * PRIOR_PROMPT_TOKEN_S
+    assert scheduler.timings.reading_s(SERVICE, "e1", PROMPT, 3.0) == PROMPT * PRIOR_PROMPT_TOKEN_S
 
 
 @pytest.mark.parametrize("times", [0.5, 1.0, 2.2])
@@ -143,7 +143,7 @@
     One engine has a prompt in prefill, one has four decoding runs and one has two.
     """
     scheduler = book()
-    scheduler.paces = seen(times=times)
+    scheduler.timings = seen(times=times)
     scheduler.record_dispatch(run("r1", "e1"), 10.0)
     for number in range(4):
         scheduler.record_dispatch(run(f"f{number}", "e2"), 5.0)
--- a/lagoonlever/tests/prompt_admission_tests.py
+++ b/lagoonlever/tests/prompt_admission_tests.py
@@ -56,7 +56,7 @@
 
 def test_the_load_counts_the_prompts_of_all_vms_over_the_window() -> None:
     on = book()
-    on.paces = seen(times=2.0)
+    on.timings = seen(times=2.0)
     for number in range(24):
         on.record_dispatch(run(f"r{number}", f"e{number % 6}"), 10.0 + 0.25 * number)
     load = on.reading_load(SERVICE, engines=6, now=16.0)
@@ -72,7 +72,7 @@
     that moment they would exceed the bound on slow engines.
     """
     on = book()
-    on.paces = seen(times=2.0)
+    on.timings = seen(times=2.0)
     for number in range(24):
         on.record_reported_run(run(f"r{number}", f"e{number % 6}"), 10.0)
     assert on.reading_load(SERVICE, engines=6, now=10.1).prompts == 0
@@ -85,7 +85,7 @@
     that moment counted, prompts would be rejected that all engines together can bear.
     """
     on = book()
-    on.paces = seen(times=1.0)
+    on.timings = seen(times=1.0)
     for number in range(24):
         on.record_dispatch(run(f"r{number}", f"e{number % 6}"), 10.0 + 0.25 * number)
     before = on.reading_load(SERVICE, engines=6, now=16.0)
--- a/lagoonlever/tests/uneven_engines_tests.py
+++ b/lagoonlever/tests/uneven_engines_tests.py
@@ -201,7 +201,7 @@
     scheduler: EngineScheduler, engine: str, pace: float, *, times: int = 5
 ) -> None:
     for _ in range(times):
-        scheduler.paces.observe_prefill(
+        scheduler.timings.observe_prefill(
             "engines", engine, tokens=PROMPT, seconds=PREFILL_S * pace, now=0.0
         )
 
@@ -248,14 +248,14 @@
     scheduler = scheduler_with_reports(e1=1.0)
     observe_prefills(scheduler, "e1", FAST, times=3)
     observe_prefills(scheduler, "e2", FAST, times=3)
-    usual = scheduler.paces.relative_time("engines", "e1", 0.0)
+    usual = scheduler.timings.relative_time("engines", "e1", 0.0)
     observe_prefills(scheduler, "e1", FAST * SLOW_PERIOD_FACTOR, times=1)
-    assert scheduler.paces.relative_time("engines", "e1", 0.0) <= usual
+    assert scheduler.timings.relative_time("engines", "e1", 0.0) <= usual
 
 
 def test_a_slow_period_costs_at_most_its_remaining_time() -> None:
     scheduler = scheduler_with_reports(e1=2.5)
-    uneven = UnevenEngines(timings=scheduler.paces, loads=scheduler.loads)
+    uneven = UnevenEngines(timings=scheduler.timings, loads=scheduler.loads)
     assert uneven.slow_period_delay_s("e1", 0.1, 0.0) == pytest.approx(0.15)
     assert (
         0.0
@@ -284,7 +284,7 @@
     scheduler = scheduler_with_reports(e1=2.5)
     observe_prefills(scheduler, "e1", SLOW)
     observe_prefills(scheduler, "e2", FAST, times=9)
-    uneven = UnevenEngines(timings=scheduler.paces, loads=scheduler.loads)
+    uneven = UnevenEngines(timings=scheduler.timings, loads=scheduler.loads)
     assert uneven.relative_time("engines", "e1", 0.1) > 1.2
     scheduler.loads.started_again("e1", 0.1)
     assert uneven.relative_time("engines", "e1", 0.1) == 1.0
