--- a/lagoonlever/bench/stream_day_model.py
+++ b/lagoonlever/bench/stream_day_model.py
@@ -220,7 +220,7 @@
             allowed_s=self._plan.deadline_s,
             slowdown=self._book.timings.slowdown(SERVICE),
         )
-        load = self._book.reading_load(SERVICE, engines=len(self._listed), now=now)
+        load = self._book.prefill_load(SERVICE, engines=len(self._listed), now=now)
         if admits_prompt(load, max_share=most):
             return False
         stream.refused += 1
--- a/lagoonlever/decisions/engines/engine_scheduler.py
+++ b/lagoonlever/decisions/engines/engine_scheduler.py
@@ -268,7 +268,7 @@
         here_s = self._prefill_ahead_s(record, now) + usual_s * DECODE_COST * load.decoding
         return best_s + MIN_MOVE_GAIN * usual_s < here_s
 
-    def reading_load(self, service: str, *, engines: int, now: float) -> PrefillLoad:
+    def prefill_load(self, service: str, *, engines: int, now: float) -> PrefillLoad:
         """Return the prefill load that all VMs recently put on a service.
 
         ``engines`` is the present number of its engines.
--- a/lagoonlever/tests/prompt_admission_tests.py
+++ b/lagoonlever/tests/prompt_admission_tests.py
@@ -59,10 +59,10 @@
     on.timings = seen(times=2.0)
     for number in range(24):
         on.record_dispatch(run(f"r{number}", f"e{number % 6}"), 10.0 + 0.25 * number)
-    load = on.reading_load(SERVICE, engines=6, now=16.0)
+    load = on.prefill_load(SERVICE, engines=6, now=16.0)
     assert load.prompts == 24
     assert load.share == pytest.approx(24 * 2.0 / (WINDOW_S * 6), rel=0.05)
-    assert on.reading_load(SERVICE, engines=6, now=40.0).prompts == 0
+    assert on.prefill_load(SERVICE, engines=6, now=40.0).prompts == 0
 
 
 def test_runs_announced_to_a_starting_vm_are_not_prefill_load() -> None:
@@ -75,7 +75,7 @@
     on.timings = seen(times=2.0)
     for number in range(24):
         on.record_reported_run(run(f"r{number}", f"e{number % 6}"), 10.0)
-    assert on.reading_load(SERVICE, engines=6, now=10.1).prompts == 0
+    assert on.prefill_load(SERVICE, engines=6, now=10.1).prompts == 0
 
 
 def test_engines_that_crashed_within_the_window_still_count() -> None:
@@ -88,9 +88,9 @@
     on.timings = seen(times=1.0)
     for number in range(24):
         on.record_dispatch(run(f"r{number}", f"e{number % 6}"), 10.0 + 0.25 * number)
-    before = on.reading_load(SERVICE, engines=6, now=16.0)
-    assert on.reading_load(SERVICE, engines=4, now=16.1).share == before.share
-    assert on.reading_load(SERVICE, engines=4, now=16.1 + WINDOW_S).prompts == 0
+    before = on.prefill_load(SERVICE, engines=6, now=16.0)
+    assert on.prefill_load(SERVICE, engines=4, now=16.1).share == before.share
+    assert on.prefill_load(SERVICE, engines=4, now=16.1 + WINDOW_S).prompts == 0
 
 
 def test_overloaded_engines_reject_new_prompts_and_accept_resumed_streams() -> None:
