--- a/lagoonlever/decisions/engines/engine_scheduler.py
+++ b/lagoonlever/decisions/engines/engine_scheduler.py
@@ -386,7 +386,7 @@
         """
         self._records.forget_others(vm)
 
-    def started_again(self, engine: str, started_ms: int, now: float) -> None:
+    def record_restart(self, engine: str, started_ms: int, now: float) -> None:
         """End the runs and drop the copies of an engine's former process after a restart.
 
         A run that was sent to the new process is kept, as its VM knew of the restart.
--- a/lagoonlever/gateway/learner.py
+++ b/lagoonlever/gateway/learner.py
@@ -144,7 +144,7 @@
         events.TARGET_STARTED_AGAIN.log(
             log, target=target_id, started_ms=started_ms, former_ms=former, source=source
         )
-        self._beliefs.book.started_again(target_id, started_ms, self._timers.now)
+        self._beliefs.book.record_restart(target_id, started_ms, self._timers.now)
         for notify in self._on_started_again:
             notify(target_id)
 
--- a/lagoonlever/tests/engine_book_tests.py
+++ b/lagoonlever/tests/engine_book_tests.py
@@ -209,7 +209,7 @@
     scheduler.record_dispatch(run("r2", "e2", copy=copy), 0.0)
     scheduler.record_dispatch(run("r3", "e1", engine_started_ms=200), 0.5)
     scheduler.avoidance.failed("e1", 0.4)
-    scheduler.started_again("e1", 200, 0.6)
+    scheduler.record_restart("e1", 200, 0.6)
     assert not scheduler.avoidance.is_avoided("e1", 0.6)
     known = {each.request: each for each in scheduler.open_runs}
     assert known.keys() == {"r2", "r3"}
