--- a/lagoonlever/decisions/engines/engine_avoidance.py
+++ b/lagoonlever/decisions/engines/engine_avoidance.py
@@ -74,7 +74,7 @@
         """Stop avoiding an engine that has served a run."""
         self._avoided.pop(engine, None)
 
-    def started_again(self, engine: str) -> None:
+    def record_restart(self, engine: str) -> None:
         """Clear the failures of an engine whose id now belongs to a new process."""
         self._avoided.pop(engine, None)
         self._broken_at.pop(engine, None)
--- a/lagoonlever/decisions/engines/engine_scheduler.py
+++ b/lagoonlever/decisions/engines/engine_scheduler.py
@@ -391,7 +391,7 @@
 
         A run that was sent to the new process is kept, as its VM knew of the restart.
         """
-        self.avoidance.started_again(engine)
+        self.avoidance.record_restart(engine)
         for record in self._records:
             run = record.run
             if run.engine == engine and run.engine_started_ms != started_ms:
