--- a/lagoonlever/bench/stream_day_model.py
+++ b/lagoonlever/bench/stream_day_model.py
@@ -175,7 +175,7 @@
         self._hold_copy(stream, stream.run)
 
     def _unlist(self, name: str, now: float) -> None:
-        self._book.avoidance.failed(name, now)
+        self._book.avoidance.record_failure(name, now)
         self._listed.pop(name, None)
 
     def _lose(self, stream: ModelStream, attempt: int, now: float) -> None:
--- a/lagoonlever/decisions/engines/engine_avoidance.py
+++ b/lagoonlever/decisions/engines/engine_avoidance.py
@@ -51,7 +51,7 @@
         avoided = self._avoided.get(engine)
         return avoided is not None and now < avoided.until
 
-    def failed(self, engine: str, now: float) -> None:
+    def record_failure(self, engine: str, now: float) -> None:
         """Avoid an engine for a while, longer each time it fails again.
 
         A failure of an engine that is already avoided changes nothing.
@@ -68,7 +68,7 @@
         last = self._broken_at.get(engine)
         self._broken_at[engine] = now
         if last is not None and now - last < BROKEN_ANSWERS_WINDOW_S:
-            self.failed(engine, now)
+            self.record_failure(engine, now)
 
     def served(self, engine: str) -> None:
         """Stop avoiding an engine that has served a run."""
--- a/lagoonlever/gateway/peers.py
+++ b/lagoonlever/gateway/peers.py
@@ -123,7 +123,7 @@
         """Note that an engine failed, and tell the others unless they know."""
         now = self._timers.now
         known = self._beliefs.book.avoidance.is_avoided(engine, now)
-        self._beliefs.book.avoidance.failed(engine, now)
+        self._beliefs.book.avoidance.record_failure(engine, now)
         if replaced:
             self._learner.take_replaced(engine, source="answer")
         if replaced or not known:
@@ -231,7 +231,7 @@
         book.record_dispatch(run, now)
 
     def _take_engine_lost(self, lost: EngineLost, source: str) -> None:
-        self._beliefs.book.avoidance.failed(lost.engine, self._timers.now)
+        self._beliefs.book.avoidance.record_failure(lost.engine, self._timers.now)
         if lost.replaced:
             self._learner.take_replaced(lost.engine, source=source)
         else:
--- a/lagoonlever/tests/copy_room_tests.py
+++ b/lagoonlever/tests/copy_room_tests.py
@@ -105,8 +105,8 @@
 
 def test_losses_expire_after_their_window() -> None:
     avoidance = EngineAvoidance()
-    avoidance.failed("e1", 0.0)
-    avoidance.failed("e1", 0.1)
+    avoidance.record_failure("e1", 0.0)
+    avoidance.record_failure("e1", 0.1)
     assert avoidance.losses(1.0) == 1
     assert avoidance.losses(LOSSES_WINDOW_S + 0.1) == 0
 
--- a/lagoonlever/tests/engine_book_tests.py
+++ b/lagoonlever/tests/engine_book_tests.py
@@ -106,16 +106,16 @@
 
 def test_a_failed_engine_is_avoided_for_longer_each_time() -> None:
     scheduler = new_scheduler()
-    scheduler.avoidance.failed("e1", 0.0)
+    scheduler.avoidance.record_failure("e1", 0.0)
     assert scheduler.avoidance.is_avoided("e1", INITIAL_AVOID_S * 0.9)
-    scheduler.avoidance.failed("e1", INITIAL_AVOID_S * 1.1)
+    scheduler.avoidance.record_failure("e1", INITIAL_AVOID_S * 1.1)
     assert scheduler.avoidance.is_avoided("e1", INITIAL_AVOID_S * 2.9)
 
 
 def test_a_run_is_placed_even_if_all_engines_have_failed() -> None:
     scheduler = new_scheduler()
     for each in ENGINES:
-        scheduler.avoidance.failed(each.id, 0.0)
+        scheduler.avoidance.record_failure(each.id, 0.0)
     assert chosen_engine(scheduler) in {"e1", "e2", "e3"}
 
 
@@ -208,7 +208,7 @@
     scheduler.record_dispatch(run("r1", "e1", engine_started_ms=100, part="p1"), 0.0)
     scheduler.record_dispatch(run("r2", "e2", copy=copy), 0.0)
     scheduler.record_dispatch(run("r3", "e1", engine_started_ms=200), 0.5)
-    scheduler.avoidance.failed("e1", 0.4)
+    scheduler.avoidance.record_failure("e1", 0.4)
     scheduler.record_restart("e1", 200, 0.6)
     assert not scheduler.avoidance.is_avoided("e1", 0.6)
     known = {each.request: each for each in scheduler.open_runs}
--- a/lagoonlever/tests/run_placement_tests.py
+++ b/lagoonlever/tests/run_placement_tests.py
@@ -156,7 +156,7 @@
 
 def test_a_copy_whose_holder_was_lost_is_not_gone_on_from() -> None:
     seen = view()
-    seen.book.avoidance.failed("e2", 0.0)
+    seen.book.avoidance.record_failure("e2", 0.0)
     assert place_run(attrs.evolve(ASK, settled="e2", repeat=True), seen, 0.1) == NoEngine()
 
 
