--- a/lagoonlever/decisions/engines/engine_avoidance.py
+++ b/lagoonlever/decisions/engines/engine_avoidance.py
@@ -63,7 +63,7 @@
         for_s = min(MAX_AVOID_S, known.for_s * 2) if known else INITIAL_AVOID_S
         self._avoided[engine] = _Avoided(until=now + for_s, for_s=for_s)
 
-    def broke(self, engine: str, now: float) -> None:
+    def record_broken_answer(self, engine: str, now: float) -> None:
         """Record a broken answer of an engine that is up; a second one soon after is a failure."""
         last = self._broken_at.get(engine)
         self._broken_at[engine] = now
--- a/lagoonlever/gateway/stream_attempt.py
+++ b/lagoonlever/gateway/stream_attempt.py
@@ -411,7 +411,7 @@
             self._counts.failed()
         self._life.lost(engine.id, str(ended), alive=alive, read=self._has_read)
         if alive:
-            self._tools.beliefs.book.avoidance.broke(engine.id, self._now)
+            self._tools.beliefs.book.avoidance.record_broken_answer(engine.id, self._now)
         else:
             self._peers.engine_lost(engine.id, replaced=False)
             if self._signs.alive_at is not None:
--- a/lagoonlever/tests/engine_book_tests.py
+++ b/lagoonlever/tests/engine_book_tests.py
@@ -180,9 +180,9 @@
 
 def test_one_broken_answer_does_not_make_an_engine_avoided() -> None:
     scheduler = new_scheduler()
-    scheduler.avoidance.broke("e1", 0.0)
+    scheduler.avoidance.record_broken_answer("e1", 0.0)
     assert not scheduler.avoidance.is_avoided("e1", 0.1)
-    scheduler.avoidance.broke("e1", 0.5)
+    scheduler.avoidance.record_broken_answer("e1", 0.5)
     assert scheduler.avoidance.is_avoided("e1", 0.6)
 
 
