--- a/lagoonlever/decisions/engines/engine_avoidance.py
+++ b/lagoonlever/decisions/engines/engine_avoidance.py
@@ -70,7 +70,7 @@
         if last is not None and now - last < BROKEN_ANSWERS_WINDOW_S:
             self.record_failure(engine, now)
 
-    def served(self, engine: str) -> None:
+    def record_success(self, engine: str) -> None:
         """Stop avoiding an engine that has served a run."""
         self._avoided.pop(engine, None)
 
--- a/lagoonlever/gateway/replacement_finder.py
+++ b/lagoonlever/gateway/replacement_finder.py
@@ -89,7 +89,7 @@
         """Put another process in a lost target's place, if it can only be of its service."""
         if answering == target_id:
             # It is back under its id: nothing of before counts against it.
-            self._beliefs.book.avoidance.served(target_id)
+            self._beliefs.book.avoidance.record_success(target_id)
             return
         proved = same_service(
             alive_at=alive_at, answered_at=self._timers.elapsed, reuse_s=self._reuse_s()
--- a/lagoonlever/gateway/stream_attempt.py
+++ b/lagoonlever/gateway/stream_attempt.py
@@ -241,7 +241,7 @@
         self._count("answered")
         self._counts.whole(self._now)
         self._life.whole = True
-        self._tools.beliefs.book.avoidance.served(self._plan.engine.id)
+        self._tools.beliefs.book.avoidance.record_success(self._plan.engine.id)
         self._tools.crashes.served(self._accepted)
         await self._copies.free()
         return head
