--- a/lagoonlever/decisions/engines/engine_avoidance.py
+++ b/lagoonlever/decisions/engines/engine_avoidance.py
@@ -40,7 +40,7 @@
     """Time of the last broken answer, by engine."""
     _failed_at: deque[float] = attrs.field(factory=deque)
 
-    def losses(self, now: float) -> int:
+    def count_losses(self, now: float) -> int:
         """Return how many engines failed within ``LOSSES_WINDOW_S``."""
         while self._failed_at and now - self._failed_at[0] > LOSSES_WINDOW_S:
             self._failed_at.popleft()
@@ -81,7 +81,7 @@
 
     def expire(self, now: float) -> None:
         """Remove failures that are too old to influence a decision."""
-        self.losses(now)
+        self.count_losses(now)
         for engine, avoided in list(self._avoided.items()):
             if now - avoided.until > MAX_AVOID_S:
                 del self._avoided[engine]
--- a/lagoonlever/decisions/engines/engine_scheduler.py
+++ b/lagoonlever/decisions/engines/engine_scheduler.py
@@ -412,7 +412,7 @@
         decode_s = self.timings.usual_making_s(service) or INITIAL_DECODE_S
         run_s = self.timings.usual_reading_s(service) + decode_s
         risk = loss_probability(
-            self.avoidance.losses(now), engines=engines, window_s=LOSSES_WINDOW_S, run_s=run_s
+            self.avoidance.count_losses(now), engines=engines, window_s=LOSSES_WINDOW_S, run_s=run_s
         )
         return max_copies_share(risk, usual=self._max_copies_share)
 
--- a/lagoonlever/tests/copy_room_tests.py
+++ b/lagoonlever/tests/copy_room_tests.py
@@ -107,8 +107,8 @@
     avoidance = EngineAvoidance()
     avoidance.record_failure("e1", 0.0)
     avoidance.record_failure("e1", 0.1)
-    assert avoidance.losses(1.0) == 1
-    assert avoidance.losses(LOSSES_WINDOW_S + 0.1) == 0
+    assert avoidance.count_losses(1.0) == 1
+    assert avoidance.count_losses(LOSSES_WINDOW_S + 0.1) == 0
 
 
 def test_the_loss_probability_stays_within_0_and_1() -> None:
