--- a/lagoonlever/decisions/engines/engine_scheduler.py
+++ b/lagoonlever/decisions/engines/engine_scheduler.py
@@ -273,7 +273,7 @@
 
         ``engines`` is the present number of its engines.
         """
-        token_s = self.timings.reading_s(service, "", 1, now)
+        token_s = self.timings.prefill_s(service, "", 1, now)
         return self._prefill_window.load(service, engines=engines, token_s=token_s, now=now)
 
     def is_dispatched(self, request: str) -> bool:
--- a/lagoonlever/decisions/engines/engine_timings.py
+++ b/lagoonlever/decisions/engines/engine_timings.py
@@ -160,7 +160,7 @@
         if slowdown is not None:
             self._service(service).slowdown.observe(slowdown, now)
 
-    def reading_s(self, service: str, engine: str, tokens: int, now: float) -> float:
+    def prefill_s(self, service: str, engine: str, tokens: int, now: float) -> float:
         """Return the seconds that an engine takes for the prefill of so many prompt tokens."""
         general = self._service(service).prompt_token_s.value
         known = self._engines.get((service, engine))
--- a/lagoonlever/decisions/engines/uneven_engines.py
+++ b/lagoonlever/decisions/engines/uneven_engines.py
@@ -62,7 +62,7 @@
     def prefill_s(self, service: str, engine: str, tokens: int, now: float) -> float:
         """Return the seconds that an engine takes for the prefill of so many prompt tokens."""
         if not self.uses_own_timings(engine):
-            return self._timings.reading_s(service, engine, tokens, now)
+            return self._timings.prefill_s(service, engine, tokens, now)
         usual_s = tokens * self._timings.prompt_token_s(service)
         return usual_s * self._timings.relative_time(service, engine, now)
 
--- a/lagoonlever/tests/engine_paces_tests.py
+++ b/lagoonlever/tests/engine_paces_tests.py
@@ -72,10 +72,10 @@
         timings.observe_prefill(SERVICE, "e1", tokens=PROMPT, seconds=1.2, now=10.0 + number)
         for fast in ("e2", "e3"):
             timings.observe_prefill(SERVICE, fast, tokens=PROMPT, seconds=1.0, now=10.0 + number)
-    usual_s = timings.reading_s(SERVICE, "e2", PROMPT, 20.0)
-    assert timings.reading_s(SERVICE, "slow", PROMPT, 20.0) > 1.5 * usual_s
-    assert timings.reading_s(SERVICE, "e1", PROMPT, 20.0) == usual_s
-    assert timings.reading_s(SERVICE, "slow", PROMPT, 100.0) == usual_s
+    usual_s = timings.prefill_s(SERVICE, "e2", PROMPT, 20.0)
+    assert timings.prefill_s(SERVICE, "slow", PROMPT, 20.0) > 1.5 * usual_s
+    assert timings.prefill_s(SERVICE, "e1", PROMPT, 20.0) == usual_s
+    assert timings.prefill_s(SERVICE, "slow", PROMPT, 100.0) == usual_s
 
 
 def test_one_slow_prefill_does_not_make_an_engine_slow() -> None:
@@ -86,7 +86,7 @@
     """
     timings = seen(times=1.0)
     timings.observe_prefill(SERVICE, "new", tokens=PROMPT, seconds=4.0, now=10.0)
-    assert timings.reading_s(SERVICE, "new", PROMPT, 11.0) == timings.reading_s(
+    assert timings.prefill_s(SERVICE, "new", PROMPT, 11.0) == timings.prefill_s(
         SERVICE, "e1", PROMPT, 11.0
     )
 
@@ -96,7 +96,7 @@
     for number in range(10):
         timings.observe_prefill(SERVICE, "slow", tokens=PROMPT, seconds=4.0, now=10.0 + number)
     timings.inherit(SERVICE, "slow", "new")
-    assert timings.reading_s(SERVICE, "new", PROMPT, 20.0) == timings.reading_s(
+    assert timings.prefill_s(SERVICE, "new", PROMPT, 20.0) == timings.prefill_s(
         SERVICE, "slow", PROMPT, 20.0
     )
 
@@ -123,7 +123,7 @@
         scheduler.record_first_event(f"r{number}", 10.0 * number + 2.0)
         scheduler.record_end(f"r{number}", 10.0 * number + 9.0, whole=True, token_s=0.009)
     assert scheduler.timings.usual_reading_s(SERVICE) == pytest.approx(2.0, rel=0.05)
-    assert scheduler.timings.reading_s(SERVICE, "e9", PROMPT, 50.0) == pytest.approx(2.0, rel=0.05)
+    assert scheduler.timings.prefill_s(SERVICE, "e9", PROMPT, 50.0) == pytest.approx(2.0, rel=0.05)
     assert scheduler.timings.fastest(SERVICE).token_s == pytest.approx(0.7 * 0.009, rel=0.05)
 
 
@@ -133,7 +133,7 @@
     scheduler.record_dispatch(run("r2"), 0.1)
     scheduler.record_first_event("r1", 1.0)
     scheduler.record_first_event("r2", 2.0)
-    assert scheduler.timings.reading_s(SERVICE, "e1", PROMPT, 3.0) == PROMPT * PRIOR_PROMPT_TOKEN_S
+    assert scheduler.timings.prefill_s(SERVICE, "e1", PROMPT, 3.0) == PROMPT * PRIOR_PROMPT_TOKEN_S
 
 
 @pytest.mark.parametrize("times", [0.5, 1.0, 2.2])
--- a/lagoonlever/tests/run_placement_tests.py
+++ b/lagoonlever/tests/run_placement_tests.py
@@ -109,11 +109,11 @@
 def test_a_run_is_not_beside_the_place_that_was_kept_for_it() -> None:
     """A reading beside another prompt tells no pace; its own kept place is no other prompt."""
     book = view().book
-    before = book.timings.reading_s("engines", "e1", 5_000, 1.0)
+    before = book.timings.prefill_s("engines", "e1", 5_000, 1.0)
     book.reserve(reserved_run(ASK, Placed(engine="e1"), vm="vm-1"), 0.0)
     book.record_dispatch(booked(ASK, Placed(engine="e1")), 0.0)
     book.record_first_event("r1", 3.0)
-    assert book.timings.reading_s("engines", "e1", 5_000, 3.0) > before
+    assert book.timings.prefill_s("engines", "e1", 5_000, 3.0) > before
 
 
 def test_a_repeat_beyond_the_budget_waits() -> None:
