--- a/lagoonlever/bench/stream_day_model.py
+++ b/lagoonlever/bench/stream_day_model.py
@@ -216,7 +216,7 @@
             return False
         most = max_prefill_share(
             decode_s=making_s,
-            prefill_s=self._book.timings.usual_reading_s(SERVICE),
+            prefill_s=self._book.timings.usual_prefill_s(SERVICE),
             allowed_s=self._plan.deadline_s,
             slowdown=self._book.timings.slowdown(SERVICE),
         )
--- a/lagoonlever/decisions/engines/engine_scheduler.py
+++ b/lagoonlever/decisions/engines/engine_scheduler.py
@@ -170,7 +170,7 @@
         costs: dict[str, float] = {}
         for engine in candidates:
             own_s = self._uneven.prefill_s(engine.service, engine.id, prompt_tokens, now)
-            jitter_s = self._jitter(engine, crowd=crowd) * self.timings.usual_reading_s(
+            jitter_s = self._jitter(engine, crowd=crowd) * self.timings.usual_prefill_s(
                 engine.service
             )
             costs[engine.id] = self._scaled_cost_s(engine, loads, limits, memory_tokens, now)
@@ -259,7 +259,7 @@
         loads, run = self._compute_loads(now), record.run
         need_tokens = run.memory_tokens
         load = loads.get(run.engine, EngineLoad())
-        usual_s = self.timings.usual_reading_s(run.service)
+        usual_s = self.timings.usual_prefill_s(run.service)
         if any(self._uneven.uses_own_timings(engine.id) for engine in others):
             best_s = min(self._first_event_elsewhere_s(e, run, loads, limits, now) for e in others)
             here_s = self._first_event_here_s(record, load, now)
@@ -410,7 +410,7 @@
     def _max_share_by_losses(self, service: str, *, engines: int, now: float) -> float:
         """Return the share of memory for copies at the present rate of lost engines."""
         decode_s = self.timings.usual_making_s(service) or INITIAL_DECODE_S
-        run_s = self.timings.usual_reading_s(service) + decode_s
+        run_s = self.timings.usual_prefill_s(service) + decode_s
         risk = loss_probability(
             self.avoidance.count_losses(now), engines=engines, window_s=LOSSES_WINDOW_S, run_s=run_s
         )
@@ -441,7 +441,7 @@
 
     def _prefill_ahead_s(self, record: RunRecord, now: float) -> float:
         """Return the time of the prefills that an engine does before that of a run."""
-        per_prompt_s = PROMPT_COST * self.timings.usual_reading_s(record.run.service)
+        per_prompt_s = PROMPT_COST * self.timings.usual_prefill_s(record.run.service)
         return sum(
             per_prompt_s + self._prefill_left_s(other, now)
             for other in self._records.unread_at(record.run.engine)
@@ -532,7 +532,7 @@
         """Return the time until the end of a run's prefill at its present engine."""
         run = record.run
         work_s = self._prefill_ahead_s(record, now) + self._prefill_left_s(record, now)
-        usual_s = self.timings.usual_reading_s(run.service)
+        usual_s = self.timings.usual_prefill_s(run.service)
         usual_s *= self._uneven.relative_time(run.service, run.engine, now)
         delay_s = self._uneven.slow_period_delay_s(run.engine, work_s, now)
         return work_s + usual_s * DECODE_COST * load.decoding + delay_s
@@ -552,7 +552,7 @@
         service the engine takes.
         """
         load = self._load_of(loads, engine)
-        usual_s = self.timings.usual_reading_s(engine.service)
+        usual_s = self.timings.usual_prefill_s(engine.service)
         cost_s = load.waiting_cost_s(relative_time * usual_s)
         if engine.data_center != self.data_center:
             cost_s += OTHER_DATA_CENTER_COST_S
--- a/lagoonlever/decisions/engines/engine_timings.py
+++ b/lagoonlever/decisions/engines/engine_timings.py
@@ -194,7 +194,7 @@
             service: StoredTimings(
                 prompt_token_s=known.prompt_token_s.value,
                 token_s=known.token_s.value,
-                reading_s=self.usual_reading_s(service),
+                reading_s=self.usual_prefill_s(service),
             )
             for service, known in self._services.items()
             if not known.prompt_token_s.is_prior and not known.token_s.is_prior
@@ -243,7 +243,7 @@
         """Return how many times as long a token takes in decode beside a prefill."""
         return self._service(service).slowdown.value
 
-    def usual_reading_s(self, service: str) -> float:
+    def usual_prefill_s(self, service: str) -> float:
         """Return the seconds of a usual prefill of a service."""
         known = self._usual_prefills.get(service)
         return known.value if known is not None else PRIOR_PREFILL_S
--- a/lagoonlever/gateway/stream_attempt.py
+++ b/lagoonlever/gateway/stream_attempt.py
@@ -204,7 +204,7 @@
 
     def _new_silence(self) -> StreamSilence:
         route, service = self._accepted.route, self._accepted.service
-        usual_s = self._tools.beliefs.book.timings.usual_reading_s(service)
+        usual_s = self._tools.beliefs.book.timings.usual_prefill_s(service)
         return StreamSilence(
             sent_at=self._now,
             first_ask_s=first_ask_s(usual_reading_s=usual_s, objective_s=route.objective_s),
--- a/lagoonlever/tests/engine_paces_tests.py
+++ b/lagoonlever/tests/engine_paces_tests.py
@@ -122,7 +122,7 @@
         scheduler.record_dispatch(attrs.evolve(run(f"r{number}"), vm=f"vm-{number}"), 10.0 * number)
         scheduler.record_first_event(f"r{number}", 10.0 * number + 2.0)
         scheduler.record_end(f"r{number}", 10.0 * number + 9.0, whole=True, token_s=0.009)
-    assert scheduler.timings.usual_reading_s(SERVICE) == pytest.approx(2.0, rel=0.05)
+    assert scheduler.timings.usual_prefill_s(SERVICE) == pytest.approx(2.0, rel=0.05)
     assert scheduler.timings.prefill_s(SERVICE, "e9", PROMPT, 50.0) == pytest.approx(2.0, rel=0.05)
     assert scheduler.timings.fastest(SERVICE).token_s == pytest.approx(0.7 * 0.009, rel=0.05)
 
