--- a/lagoonlever/bench/stream_day_model.py
+++ b/lagoonlever/bench/stream_day_model.py
@@ -211,7 +211,7 @@
         """Refuse a new prompt that engines can't bear; its caller may come back later."""
         if stream.life.sent or stream.life.position or not self._policy.admission:
             return False
-        making_s = self._book.timings.usual_making_s(SERVICE)
+        making_s = self._book.timings.usual_decode_s(SERVICE)
         if making_s is None:
             return False
         most = max_prefill_share(
--- a/lagoonlever/decisions/engines/engine_scheduler.py
+++ b/lagoonlever/decisions/engines/engine_scheduler.py
@@ -409,7 +409,7 @@
 
     def _max_share_by_losses(self, service: str, *, engines: int, now: float) -> float:
         """Return the share of memory for copies at the present rate of lost engines."""
-        decode_s = self.timings.usual_making_s(service) or INITIAL_DECODE_S
+        decode_s = self.timings.usual_decode_s(service) or INITIAL_DECODE_S
         run_s = self.timings.usual_prefill_s(service) + decode_s
         risk = loss_probability(
             self.avoidance.count_losses(now), engines=engines, window_s=LOSSES_WINDOW_S, run_s=run_s
--- a/lagoonlever/decisions/engines/engine_timings.py
+++ b/lagoonlever/decisions/engines/engine_timings.py
@@ -228,7 +228,7 @@
         usual = self._usual_answers.setdefault(service, RobustEstimate(value=PRIOR_ANSWER_TOKENS))
         usual.observe(float(tokens), now)
 
-    def usual_making_s(self, service: str) -> float | None:
+    def usual_decode_s(self, service: str) -> float | None:
         """Return the undisturbed decode time of a usual answer, or None until it was measured.
 
         The length that a request announces is not used: the service's longest answers would be
--- a/lagoonlever/gateway/room_desk.py
+++ b/lagoonlever/gateway/room_desk.py
@@ -156,7 +156,7 @@
         """Translate a question's durations into times of this VM's clock."""
         need, ask = asked.need, asked.ask
         reading_s = self._beliefs.book.timings.prefill_s(ask.service, "", ask.prompt_tokens, now)
-        making_s = self._beliefs.book.timings.usual_making_s(ask.service) or 0.0
+        making_s = self._beliefs.book.timings.usual_decode_s(ask.service) or 0.0
         room = CapacityRequest(
             request_id=ask.request,
             service=ask.service,
