--- a/lagoonlever/decisions/engines/engine_timings.py
+++ b/lagoonlever/decisions/engines/engine_timings.py
@@ -248,7 +248,7 @@
         known = self._usual_prefills.get(service)
         return known.value if known is not None else PRIOR_PREFILL_S
 
-    def fastest(self, service: str) -> TokenTimes:
+    def lower_bound(self, service: str) -> TokenTimes:
         """Return times per token that no engine of a service is expected to fall below."""
         known = [each for (key_service, _), each in self._engines.items() if key_service == service]
         general = self._service(service)
--- a/lagoonlever/gateway/stream_admission.py
+++ b/lagoonlever/gateway/stream_admission.py
@@ -65,7 +65,7 @@
         if life.position and left_s < LEAST_LEFT_S:
             return False
         least_s = least_time_s(
-            pace=self._beliefs.book.timings.fastest(accepted.service),
+            pace=self._beliefs.book.timings.lower_bound(accepted.service),
             prompt_tokens=ask.prompt_tokens,
             output_tokens=ask.expected_tokens,
             position=life.position or 0,
--- a/lagoonlever/tests/engine_paces_tests.py
+++ b/lagoonlever/tests/engine_paces_tests.py
@@ -29,7 +29,7 @@
 
 def needed_s(timings: EngineTimings, *, position: int = 0, cached: bool = False) -> float:
     return least_time_s(
-        pace=timings.fastest(SERVICE),
+        pace=timings.lower_bound(SERVICE),
         prompt_tokens=PROMPT,
         output_tokens=OUTPUT,
         position=position,
@@ -124,7 +124,7 @@
         scheduler.record_end(f"r{number}", 10.0 * number + 9.0, whole=True, token_s=0.009)
     assert scheduler.timings.usual_prefill_s(SERVICE) == pytest.approx(2.0, rel=0.05)
     assert scheduler.timings.prefill_s(SERVICE, "e9", PROMPT, 50.0) == pytest.approx(2.0, rel=0.05)
-    assert scheduler.timings.fastest(SERVICE).token_s == pytest.approx(0.7 * 0.009, rel=0.05)
+    assert scheduler.timings.lower_bound(SERVICE).token_s == pytest.approx(0.7 * 0.009, rel=0.05)
 
 
 def test_a_prefill_that_waited_for_another_one_is_not_measured() -> None:
