--- a/lagoonlever/decisions/engines/engine_timings.py
+++ b/lagoonlever/decisions/engines/engine_timings.py
@@ -200,7 +200,7 @@
             if not known.prompt_token_s.is_prior and not known.token_s.is_prior
         }
 
-    def recall(self, service: str, stored: StoredTimings, now: float) -> None:
+    def restore(self, service: str, stored: StoredTimings, now: float) -> None:
         """Use the stored timings of a service that has not been measured yet.
 
         It counts as a first observation and is clamped to a range around the prior, as anybody
--- a/lagoonlever/gateway/pace_keeper.py
+++ b/lagoonlever/gateway/pace_keeper.py
@@ -68,7 +68,7 @@
             return
         self._take()
         for service, pace in self._stored.items():
-            self._beliefs.book.timings.recall(service, pace, self._timers.now)
+            self._beliefs.book.timings.restore(service, pace, self._timers.now)
         if self._stored:
             events.PACES_RECALLED.log(log, paces=str(self._stored), revision=self._record.revision)
 
--- a/lagoonlever/gateway/placer.py
+++ b/lagoonlever/gateway/placer.py
@@ -174,7 +174,7 @@
     def _recall(self, service: str, pace: StoredTimings | None) -> None:
         """Take what the hub knows of the engines, where this VM has seen no stream yet."""
         if pace is not None:
-            self._beliefs.book.timings.recall(service, pace, self._timers.now)
+            self._beliefs.book.timings.restore(service, pace, self._timers.now)
 
 
 def _log_choice(request: str, choice: UnevenChoice) -> None:
--- a/lagoonlever/gateway/room_asker.py
+++ b/lagoonlever/gateway/room_asker.py
@@ -153,7 +153,7 @@
             return None
         pace = told.decided.pace
         if pace is not None:
-            self._beliefs.book.timings.recall(service, pace, self._timers.now)
+            self._beliefs.book.timings.restore(service, pace, self._timers.now)
         return told.decided.outcome
 
     def _keeper(self, service: str) -> str | None:
--- a/lagoonlever/tests/pace_keeper_tests.py
+++ b/lagoonlever/tests/pace_keeper_tests.py
@@ -28,12 +28,12 @@
 
 def test_what_was_kept_holds_until_streams_were_seen() -> None:
     paces = EngineTimings()
-    paces.recall(SERVICE, KEPT, 0.0)
+    paces.restore(SERVICE, KEPT, 0.0)
     assert paces.usual_prefill_s(SERVICE) == 2.0
     assert paces.kept() == {SERVICE: KEPT}
     learnt = seen(times=1.0)
     before = needed_s(learnt)
-    learnt.recall(SERVICE, KEPT, 20.0)
+    learnt.restore(SERVICE, KEPT, 20.0)
     assert needed_s(learnt) == before
 
 
@@ -52,7 +52,7 @@
 ) -> None:
     kept = StoredTimings(prompt_token_s=prompt_token_s, token_s=token_s, reading_s=reading_s)
     paces = EngineTimings()
-    paces.recall(SERVICE, kept, 0.0)
+    paces.restore(SERVICE, kept, 0.0)
     assert 0.1 < paces.usual_prefill_s(SERVICE) <= 8.0
     assert needed_s(paces) < 8.0 * needed_s(EngineTimings()) + 1e-9
 
