--- a/lagoonlever/decisions/engines/engine_timings.py
+++ b/lagoonlever/decisions/engines/engine_timings.py
@@ -188,7 +188,7 @@
         )
         return relative or 1.0
 
-    def kept(self) -> dict[str, StoredTimings]:
+    def stored_timings(self) -> dict[str, StoredTimings]:
         """Return the measured timings of each service, to be written to the store."""
         return {
             service: StoredTimings(
--- a/lagoonlever/gateway/pace_keeper.py
+++ b/lagoonlever/gateway/pace_keeper.py
@@ -74,7 +74,7 @@
 
     async def _write(self) -> None:
         """Write the figures if they tell another thing than those that are stored."""
-        learnt = self._beliefs.book.timings.kept()
+        learnt = self._beliefs.book.timings.stored_timings()
         if self._record.revision.era != self._beliefs.targets.as_of.era:
             # The store has come back from an older copy, which may not have them.
             await self._read_anew()
--- a/lagoonlever/gateway/placement_desk.py
+++ b/lagoonlever/gateway/placement_desk.py
@@ -46,7 +46,7 @@
         outcome = place_run(ask, self._placer.view(ask.service), now)
         if isinstance(outcome, Placed) and ask.attempt:
             self._beliefs.book.reserve(reserved_run(ask, outcome, vm=vm), now)
-        pace = self._beliefs.book.timings.kept().get(ask.service)
+        pace = self._beliefs.book.timings.stored_timings().get(ask.service)
         told = PlacementTold.of(asked.number, outcome, pace)
         self._bus.send(asked.reply_to, told)
 
--- a/lagoonlever/gateway/room_desk.py
+++ b/lagoonlever/gateway/room_desk.py
@@ -220,7 +220,7 @@
             self._log_begun(waiting, line, outcome)
         else:
             line.remove(place)
-        pace = self._beliefs.book.timings.kept().get(ask.service)
+        pace = self._beliefs.book.timings.stored_timings().get(ask.service)
         decided = PlacementTold.of(place.number, outcome, pace)
         self._answer(place, question, LineTold(number=place.number, decided=decided))
 
--- a/lagoonlever/tests/pace_keeper_tests.py
+++ b/lagoonlever/tests/pace_keeper_tests.py
@@ -30,7 +30,7 @@
     paces = EngineTimings()
     paces.restore(SERVICE, KEPT, 0.0)
     assert paces.usual_prefill_s(SERVICE) == 2.0
-    assert paces.kept() == {SERVICE: KEPT}
+    assert paces.stored_timings() == {SERVICE: KEPT}
     learnt = seen(times=1.0)
     before = needed_s(learnt)
     learnt.restore(SERVICE, KEPT, 20.0)
