--- a/lagoonlever/decisions/engines/engine_timings.py
+++ b/lagoonlever/decisions/engines/engine_timings.py
@@ -214,7 +214,7 @@
         usual = self._usual_prefills.setdefault(service, RobustEstimate(value=PRIOR_PREFILL_S))
         usual.observe(stored.reading_s, now)
 
-    def inherit(self, service: str, former: str, successor: str) -> None:
+    def copy_to_successor(self, service: str, former: str, successor: str) -> None:
         """Copy an engine's figures to a new engine at its address, as it is the same machine."""
         known = self._engines.get((service, former))
         if known is not None:
--- a/lagoonlever/gateway/learner.py
+++ b/lagoonlever/gateway/learner.py
@@ -132,7 +132,7 @@
         """Take the pace of the engine that had a target's address before it."""
         for former in self._beliefs.targets.targets:
             if former.address == target.address and former.id != target.id:
-                self._beliefs.book.timings.inherit(target.service, former.id, target.id)
+                self._beliefs.book.timings.copy_to_successor(target.service, former.id, target.id)
 
     def _note_start(self, target_id: str, former: int | None, *, source: str) -> None:
         """Let go of what was learnt of a target's process, if another one has its id now."""
--- a/lagoonlever/tests/engine_paces_tests.py
+++ b/lagoonlever/tests/engine_paces_tests.py
@@ -95,7 +95,7 @@
     timings = seen(times=1.0)
     for number in range(10):
         timings.observe_prefill(SERVICE, "slow", tokens=PROMPT, seconds=4.0, now=10.0 + number)
-    timings.inherit(SERVICE, "slow", "new")
+    timings.copy_to_successor(SERVICE, "slow", "new")
     assert timings.prefill_s(SERVICE, "new", PROMPT, 20.0) == timings.prefill_s(
         SERVICE, "slow", PROMPT, 20.0
     )
