--- a/lagoonlever/decisions/engines/engine_timings.py
+++ b/lagoonlever/decisions/engines/engine_timings.py
@@ -76,7 +76,7 @@
     reading_s: PositiveFloat
     """Seconds of a usual prefill."""
 
-    def differs(self, other: StoredTimings) -> bool:
+    def differs_from(self, other: StoredTimings) -> bool:
         """Check whether any figure differs by more than ``STORED_CHANGE_RATIO``."""
         pairs = zip(attrs.astuple(self), attrs.astuple(other), strict=True)
         return any(
