--- a/lagoonlever/decisions/engines/target_crashes.py
+++ b/lagoonlever/decisions/engines/target_crashes.py
@@ -25,7 +25,7 @@
     weight: float = WEIGHT_STARTED
 
     @classmethod
-    def told(cls, *, at: float, weight: float) -> Crash:
+    def from_report(cls, *, at: float, weight: float) -> Crash:
         """Create a crash from received data, its weight set to one of the two valid ones."""
         return cls(at=at, weight=WEIGHT_STARTED if weight >= WEIGHT_STARTED else WEIGHT_QUEUED)
 
--- a/lagoonlever/gateway/crash_records.py
+++ b/lagoonlever/gateway/crash_records.py
@@ -179,7 +179,7 @@
         now, to_monotonic = self._now(), self._now() - self._unix_now()
         ends = {
             fingerprint: {
-                process: Crash.told(at=min(now, end.at + to_monotonic), weight=end.weight)
+                process: Crash.from_report(at=min(now, end.at + to_monotonic), weight=end.weight)
                 for process, end in processes.items()
             }
             for fingerprint, processes in stored.items()
--- a/lagoonlever/peers/messages_crashes.py
+++ b/lagoonlever/peers/messages_crashes.py
@@ -39,6 +39,6 @@
     """Give what a message tells, in seconds of the receiver's clock."""
     ends: dict[str, dict[str, Crash]] = {}
     for told in message.ends:
-        end = Crash.told(at=now - max(0.0, told.age_s), weight=told.weight)
+        end = Crash.from_report(at=now - max(0.0, told.age_s), weight=told.weight)
         ends.setdefault(told.fingerprint, {})[told.process] = end
     return ends
--- a/lagoonlever/tests/crash_suspects_tests.py
+++ b/lagoonlever/tests/crash_suspects_tests.py
@@ -295,4 +295,4 @@
 
 @given(weight=st.floats(), at=st.floats(allow_nan=False))
 def test_an_invalid_weight_from_outside_is_mapped_to_a_valid_one(weight: float, at: float) -> None:
-    assert Crash.told(at=at, weight=weight).weight in (WEIGHT_STARTED, WEIGHT_QUEUED)
+    assert Crash.from_report(at=at, weight=weight).weight in (WEIGHT_STARTED, WEIGHT_QUEUED)
