--- a/lagoonlever/decisions/engines/target_crashes.py
+++ b/lagoonlever/decisions/engines/target_crashes.py
@@ -29,7 +29,7 @@
         """Create a crash from received data, its weight set to one of the two valid ones."""
         return cls(at=at, weight=WEIGHT_STARTED if weight >= WEIGHT_STARTED else WEIGHT_QUEUED)
 
-    def joined(self, other: Crash) -> Crash:
+    def merge(self, other: Crash) -> Crash:
         """Combine two reports of the same crash: the earlier time and the greater weight."""
         return Crash(at=min(self.at, other.at), weight=max(self.weight, other.weight))
 
