--- a/lagoonlever/decisions/engines/crash_suspects.py
+++ b/lagoonlever/decisions/engines/crash_suspects.py
@@ -31,7 +31,7 @@
 
 from lagoonlever.decisions.engines.crash_causes import BLOCKING_WEIGHT, find_causes, total_weight
 from lagoonlever.decisions.engines.target_crashes import (
-    LATE_NEWS_S,
+    MAX_REPORT_DELAY_S,
     WEIGHT_STARTED,
     Crash,
     CrashesByRequest,
@@ -207,7 +207,7 @@
                 del self._crashes[fingerprint]
         self._blocked &= self._crashes.keys()
         for fingerprint, answer in list(self._answers.items()):
-            if now - answer.at <= LATE_NEWS_S:
+            if now - answer.at <= MAX_REPORT_DELAY_S:
                 break
             del self._answers[fingerprint]
         for fingerprint, clearing in list(self._clearings.items()):
@@ -232,7 +232,7 @@
     def _clearing_answer(self, fingerprint: str, process: str, crash: Crash) -> _Answer | None:
         """Return the answer that has cleared a crash, or None if the crash counts."""
         answer = self._answers.get(fingerprint)
-        if answer is not None and crash.at <= answer.at + LATE_NEWS_S:
+        if answer is not None and crash.at <= answer.at + MAX_REPORT_DELAY_S:
             return answer
         clearing = self._clearings.get(fingerprint)
         if clearing is None or process not in clearing.processes:
--- a/lagoonlever/decisions/engines/target_crashes.py
+++ b/lagoonlever/decisions/engines/target_crashes.py
@@ -10,7 +10,7 @@
 """Weight of a crash where the target had started to run the request, or is assumed to have."""
 WEIGHT_QUEUED = 0.5
 """Weight of a crash where the request may only have been queued at the target."""
-LATE_NEWS_S = 0.5
+MAX_REPORT_DELAY_S = 0.5
 """A report of a crash from before an answer arrives within this time after the answer.
 
 It covers the detection of the crash and one message.
@@ -38,7 +38,7 @@
 
         Both record the crash of one process, each under another request that was there.
         """
-        return self.weight >= other.weight and self.at <= other.at + LATE_NEWS_S
+        return self.weight >= other.weight and self.at <= other.at + MAX_REPORT_DELAY_S
 
 
 CrashesByRequest = Mapping[str, Mapping[str, Crash]]
--- a/lagoonlever/tests/crash_records_tests.py
+++ b/lagoonlever/tests/crash_records_tests.py
@@ -9,7 +9,7 @@
 import pytest
 import trio
 
-from lagoonlever.decisions.engines.target_crashes import LATE_NEWS_S
+from lagoonlever.decisions.engines.target_crashes import MAX_REPORT_DELAY_S
 from lagoonlever.fakes.metadata_store import StoreFault
 from lagoonlever.gateway.crash_records import RECORD_KEY
 from lagoonlever.http.messages import Address
@@ -102,7 +102,7 @@
         site.deadly.clear()
         assert (await call(site, "bid", vm="vm-1")).status == 200
         await until_within(TOLD_S, lambda: site.store.value(RECORD_KEY) == b"{}")
-        await trio.sleep(2 * LATE_NEWS_S)
+        await trio.sleep(2 * MAX_REPORT_DELAY_S)
         site.store.restore(before)
         await until_within(WATCH_S, lambda: site.store.value(RECORD_KEY) == b"{}")
         assert not any(vm.daemon.parts.crashes._suspects.ends for vm in site.vms.values())
--- a/lagoonlever/tests/crash_suspects_tests.py
+++ b/lagoonlever/tests/crash_suspects_tests.py
@@ -17,7 +17,7 @@
     CrashSuspects,
 )
 from lagoonlever.decisions.engines.target_crashes import (
-    LATE_NEWS_S,
+    MAX_REPORT_DELAY_S,
     WEIGHT_QUEUED,
     WEIGHT_STARTED,
     Crash,
@@ -103,11 +103,11 @@
     """Guards against late reports of crashes from before the answer that clears them."""
     suspects = CrashSuspects()
     suspects.record_answer("f1", 10.0, is_own=True)
-    late = {"f1": {"a": Crash(at=10.0 + LATE_NEWS_S)}, "f2": {"a": Crash(at=10.1)}}
+    late = {"f1": {"a": Crash(at=10.0 + MAX_REPORT_DELAY_S)}, "f2": {"a": Crash(at=10.1)}}
     assert suspects.find_cleared_here(late) == {"f1"}
     assert suspects.record_reported_crashes(late)
     assert set(suspects.crashes) == {"f2"}
-    later = {"f1": {"a": Crash(at=10.1 + LATE_NEWS_S)}}
+    later = {"f1": {"a": Crash(at=10.1 + MAX_REPORT_DELAY_S)}}
     assert not suspects.find_cleared_here(later)
     assert suspects.record_reported_crashes(later)
 
@@ -147,7 +147,7 @@
         suspects.record_answer(f"f{number}", 10.0, is_own=True)
     assert suspects.record_reported_crashes({"f0": {"a": Crash(at=10.0)}})
     assert not suspects.record_reported_crashes({"f1": {"a": Crash(at=10.0)}})
-    suspects.expire(10.1 + LATE_NEWS_S)
+    suspects.expire(10.1 + MAX_REPORT_DELAY_S)
     assert suspects.record_reported_crashes({"f1": {"a": Crash(at=10.0)}})
 
 
@@ -241,7 +241,7 @@
     assert not suspects.blocked and not late.blocked
     alone = suspects_of(("a", WEIGHT_STARTED), ("b", WEIGHT_STARTED), ("c", WEIGHT_STARTED))
     alone.record_reported_crashes(
-        {"f2": {p: Crash(at=at + 2 * LATE_NEWS_S) for at, p in enumerate("abc")}}
+        {"f2": {p: Crash(at=at + 2 * MAX_REPORT_DELAY_S) for at, p in enumerate("abc")}}
     )
     assert alone.blocked == {"f1"}
 
