--- a/lagoonlever/decisions/engines/engine_reports.py
+++ b/lagoonlever/decisions/engines/engine_reports.py
@@ -26,7 +26,7 @@
 """
 
 
-def leaves_too_soon(leaves_in_s: float | None, *, prefill_s: float, decode_s: float) -> bool:
+def leaves_before_run_ends(leaves_in_s: float | None, *, prefill_s: float, decode_s: float) -> bool:
     """Check whether a usual run that is sent now can't end before its engine stops."""
     return leaves_in_s is not None and leaves_in_s < prefill_s + decode_s
 
--- a/lagoonlever/gateway/report_uses.py
+++ b/lagoonlever/gateway/report_uses.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from lagoonlever.decisions.engines.engine_reports import leaves_queue, leaves_too_soon
+from lagoonlever.decisions.engines.engine_reports import leaves_queue, leaves_before_run_ends
 from lagoonlever.decisions.settings.configuration import RouteKind
 from lagoonlever.decisions.settings.load_parts import has_ranks
 from lagoonlever.gateway.attempt_tools import AttemptPlan, AttemptTools
@@ -15,7 +15,7 @@
     if report.started_ms is not None:
         tools.learner.take_start(engine.id, report.started_ms)
     paces = tools.beliefs.book.paces
-    too_soon = leaves_too_soon(
+    too_soon = leaves_before_run_ends(
         report.leaves_in_s,
         prefill_s=paces.usual_reading_s(engine.service),
         decode_s=paces.usual_making_s(engine.service) or 0.0,
--- a/lagoonlever/tests/engine_reports_tests.py
+++ b/lagoonlever/tests/engine_reports_tests.py
@@ -9,7 +9,7 @@
     MIN_SILENCE_S,
     is_preempted,
     leaves_queue,
-    leaves_too_soon,
+    leaves_before_run_ends,
 )
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS
 from lagoonlever.decisions.streams.copy_keeping import LAST_COPY_S, CopyKeeping
@@ -39,9 +39,9 @@
 
 def test_an_engine_that_stops_within_a_run_receives_no_new_one() -> None:
     """Guards against a prefill at an engine that stops before the answer ends."""
-    assert leaves_too_soon(3.0, prefill_s=1.2, decode_s=4.0)
-    assert not leaves_too_soon(30.0, prefill_s=1.2, decode_s=4.0)
-    assert not leaves_too_soon(None, prefill_s=1.2, decode_s=4.0)
+    assert leaves_before_run_ends(3.0, prefill_s=1.2, decode_s=4.0)
+    assert not leaves_before_run_ends(30.0, prefill_s=1.2, decode_s=4.0)
+    assert not leaves_before_run_ends(None, prefill_s=1.2, decode_s=4.0)
 
 
 def leaves(
