--- a/lagoonlever/decisions/engines/engine_reports.py
+++ b/lagoonlever/decisions/engines/engine_reports.py
@@ -37,7 +37,7 @@
     without="it waits there",
     plain=gives(False),
 )
-def leaves_queue(
+def should_leave_queue(
     *,
     first_waiting: int | None,
     memory_used: int,
--- a/lagoonlever/gateway/report_uses.py
+++ b/lagoonlever/gateway/report_uses.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from lagoonlever.decisions.engines.engine_reports import leaves_queue, leaves_before_run_ends
+from lagoonlever.decisions.engines.engine_reports import should_leave_queue, leaves_before_run_ends
 from lagoonlever.decisions.settings.configuration import RouteKind
 from lagoonlever.decisions.settings.load_parts import has_ranks
 from lagoonlever.gateway.attempt_tools import AttemptPlan, AttemptTools
@@ -47,7 +47,7 @@
         now=tools.timers.now,
         avoid=frozenset({plan.engine.id}),
     )
-    return leaves_queue(
+    return should_leave_queue(
         first_waiting=report.first_waiting,
         memory_used=report.memory_used,
         memory_total=report.memory_total,
--- a/lagoonlever/tests/engine_reports_tests.py
+++ b/lagoonlever/tests/engine_reports_tests.py
@@ -8,7 +8,7 @@
 from lagoonlever.decisions.engines.engine_reports import (
     MIN_SILENCE_S,
     is_preempted,
-    leaves_queue,
+    should_leave_queue,
     leaves_before_run_ends,
 )
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS
@@ -47,7 +47,7 @@
 def leaves(
     *, used: int = 52_000, waiting: int | None = 5_200, elsewhere_s: float | None = 1.5
 ) -> bool:
-    return leaves_queue(
+    return should_leave_queue(
         first_waiting=waiting,
         memory_used=used,
         memory_total=TOTAL,
