--- a/lagoonlever/decisions/engines/correlated_loss.py
+++ b/lagoonlever/decisions/engines/correlated_loss.py
@@ -30,7 +30,7 @@
         without="the silence of each engine is judged by itself",
         plain=gives(False),
     )
-    def lost(self, engine: str, data_center: str, now: float) -> bool:
+    def record_loss(self, engine: str, data_center: str, now: float) -> bool:
         """Record a loss; return True if another engine of the data centre was just lost."""
         former = self._last.get(data_center)
         self._last[data_center] = (engine, now)
--- a/lagoonlever/gateway/attempt_tools.py
+++ b/lagoonlever/gateway/attempt_tools.py
@@ -62,7 +62,7 @@
     def engine_lost(self, engine: str) -> None:
         """Have the open attempts on a lost engine ask it at once, or those of its whole place."""
         target = self.beliefs.targets.find(engine)
-        together = target is not None and self.losses.lost(
+        together = target is not None and self.losses.record_loss(
             engine, target.data_center, self.timers.now
         )
         for other in list(self.watched):
