--- a/lagoonlever/decisions/engines/uneven_engines.py
+++ b/lagoonlever/decisions/engines/uneven_engines.py
@@ -21,7 +21,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class EngineSeen:
+class EngineSnapshot:
     """What was known of an engine when a choice was made."""
 
     engine: str
@@ -38,8 +38,8 @@
 class UnevenChoice:
     """A choice that would have been another one if all engines were equally fast."""
 
-    taken: EngineSeen
-    passed_over: EngineSeen
+    taken: EngineSnapshot
+    passed_over: EngineSnapshot
 
 
 @attrs.define(kw_only=True)
@@ -72,10 +72,10 @@
             return 0.0
         return _delay_s(work_s, self._loads.slowness(engine, now))
 
-    def snapshot(self, service: str, engine: str, now: float) -> EngineSeen:
+    def snapshot(self, service: str, engine: str, now: float) -> EngineSnapshot:
         """Return what is known of an engine, for the report of a choice."""
         known = self._loads.estimate(engine, now)
-        return EngineSeen(
+        return EngineSnapshot(
             engine=engine,
             pace=self.relative_time(service, engine, now),
             slowness=known.slowness,
--- a/lagoonlever/tests/uneven_placing_tests.py
+++ b/lagoonlever/tests/uneven_placing_tests.py
@@ -7,7 +7,7 @@
 
 from lagoonlever.bench.local_fleet import Fleet, run_fleet, start_many
 from lagoonlever.bench.placing_fleet import PROMPT, SERVICE, placing_fleet
-from lagoonlever.decisions.engines.uneven_engines import EngineSeen, UnevenChoice
+from lagoonlever.decisions.engines.uneven_engines import EngineSnapshot, UnevenChoice
 from lagoonlever.decisions.streams.run_placement import Placed
 from lagoonlever.decisions.targets.load_estimate import LoadSource
 from lagoonlever.decisions.targets.told_load import LoadWord, ToldLoad
@@ -44,7 +44,7 @@
 
 
 def test_a_hub_s_answer_carries_the_reasons_of_its_choice() -> None:
-    seen = EngineSeen(engine="e", pace=0.7, slowness=1.0, age_s=0.1, source=LoadSource.NEWS)
+    seen = EngineSnapshot(engine="e", pace=0.7, slowness=1.0, age_s=0.1, source=LoadSource.NEWS)
     choice = UnevenChoice(taken=seen, passed_over=seen)
     told = PlacementTold.of(1, Placed(engine="e", choice=choice), None)
     assert PEER.decode(PEER.encode(told)) == told
