--- a/lagoonlever/entry/engines/crashes.py
+++ b/lagoonlever/entry/engines/crashes.py
@@ -13,7 +13,7 @@
 
 from lagoonlever.decisions.engines.crash_suspects import CrashSuspects
 from lagoonlever.decisions.engines.fingerprints import RequestIdentity
-from lagoonlever.decisions.engines.suspect_gathering import choose_suspect_engine
+from lagoonlever.decisions.engines.suspect_placement import choose_suspect_engine
 from lagoonlever.decisions.engines.target_crashes import WEIGHT_STARTED, Crash, process_name
 from lagoonlever.decisions.membership.membership import MemberView
 from lagoonlever.decisions.streams.generation_messages import GenerationSpec
--- a/lagoonlever/gateway/crash_watch.py
+++ b/lagoonlever/gateway/crash_watch.py
@@ -16,7 +16,7 @@
 import trio
 
 from lagoonlever.decisions.engines.crash_suspects import CrashSuspects
-from lagoonlever.decisions.engines.suspect_gathering import choose_suspect_engine
+from lagoonlever.decisions.engines.suspect_placement import choose_suspect_engine
 from lagoonlever.decisions.engines.target_crashes import WEIGHT_STARTED, Crash, process_name
 from lagoonlever.decisions.fleet.roles import Roles
 from lagoonlever.decisions.targets.listed_target import ListedTarget
--- a/lagoonlever/tests/suspect_gathering_tests.py
+++ b/lagoonlever/tests/suspect_gathering_tests.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from lagoonlever.decisions.engines.crash_suspects import CrashSuspects
-from lagoonlever.decisions.engines.suspect_gathering import choose_suspect_engine
+from lagoonlever.decisions.engines.suspect_placement import choose_suspect_engine
 from lagoonlever.decisions.engines.target_crashes import (
     WEIGHT_QUEUED,
     WEIGHT_STARTED,
