--- a/lagoonlever/gateway/report_uses.py
+++ b/lagoonlever/gateway/report_uses.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from lagoonlever.decisions.engines.engine_reports import should_leave_queue, leaves_before_run_ends
+from lagoonlever.decisions.engines.engine_reports import leaves_before_run_ends, should_leave_queue
 from lagoonlever.decisions.settings.configuration import RouteKind
 from lagoonlever.decisions.settings.load_parts import has_ranks
 from lagoonlever.gateway.attempt_tools import AttemptPlan, AttemptTools
--- a/lagoonlever/tests/engine_reports_tests.py
+++ b/lagoonlever/tests/engine_reports_tests.py
@@ -8,8 +8,8 @@
 from lagoonlever.decisions.engines.engine_reports import (
     MIN_SILENCE_S,
     is_preempted,
-    should_leave_queue,
     leaves_before_run_ends,
+    should_leave_queue,
 )
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS
 from lagoonlever.decisions.streams.copy_keeping import LAST_COPY_S, CopyKeeping
