--- a/lagoonlever/decisions/engines/crash_suspects.py
+++ b/lagoonlever/decisions/engines/crash_suspects.py
@@ -221,7 +221,7 @@
             known = self._crashes.setdefault(fingerprint, {})
             for process, crash in processes.items():
                 former = known.get(process)
-                known[process] = crash if former is None else former.joined(crash)
+                known[process] = crash if former is None else former.merge(crash)
                 is_new |= former is None or former.weight < crash.weight
                 is_changed |= former != known[process]
         if is_changed:
--- a/lagoonlever/decisions/streams/run_placement.py
+++ b/lagoonlever/decisions/streams/run_placement.py
@@ -141,7 +141,7 @@
     """Give the prompts a second that the engines of a service can read that aren't avoided."""
     avoidance = view.book.avoidance
     calm = [e for e in view.targets.serving(service) if not avoidance.is_avoided(e.id, now)]
-    return max_prefills_per_s(len(calm), view.book.paces.usual_reading_s(service))
+    return max_prefills_per_s(len(calm), view.book.timings.usual_reading_s(service))
 
 
 def reserved_run(ask: RunAsk, placed: Placed, *, vm: str) -> BookedRun:
@@ -160,7 +160,7 @@
 def _place(
     ask: RunAsk, view: PlacementView, now: float, *, begins_within_s: float | None = None
 ) -> Placed | None:
-    placement = view.book.place(
+    placement = view.book.choose_engine(
         view.targets.serving(ask.service, on_trial=ask.on_trial),
         limits=view.limits,
         prompt_tokens=ask.prompt_tokens,
@@ -191,7 +191,7 @@
 def _copy_to(ask: RunAsk, engine: ListedTarget, view: PlacementView, now: float) -> str | None:
     if not ask.copies:
         return None
-    holder = view.book.place_copy(
+    holder = view.book.choose_copy_holder(
         view.targets.serving(ask.service),
         limits=view.limits,
         beside=engine,
@@ -211,7 +211,7 @@
     """
     if ask.allowed_s is None:
         return None
-    paces = view.book.paces
+    paces = view.book.timings
     making_s = paces.usual_making_s(ask.service)
     if making_s is None:
         return None
@@ -222,7 +222,7 @@
         slowdown=paces.slowdown(ask.service),
     )
     engines = len(view.targets.serving(ask.service))
-    load = view.book.reading_load(ask.service, engines=engines, now=now)
+    load = view.book.prefill_load(ask.service, engines=engines, now=now)
     if admits_prompt(load, max_share=most):
         return None
     return Overloaded(share=load.share, most=most)
--- a/lagoonlever/gateway/pace_keeper.py
+++ b/lagoonlever/gateway/pace_keeper.py
@@ -99,7 +99,7 @@
 
     def _is_stored(self, service: str, pace: StoredTimings) -> bool:
         stored = self._stored.get(service)
-        return stored is not None and not stored.differs(pace)
+        return stored is not None and not stored.differs_from(pace)
 
     def _take(self) -> None:
         """Take what is stored; what can't be read is written over."""
--- a/lagoonlever/gateway/report_uses.py
+++ b/lagoonlever/gateway/report_uses.py
@@ -14,7 +14,7 @@
     engine = plan.engine
     if report.started_ms is not None:
         tools.learner.take_start(engine.id, report.started_ms)
-    paces = tools.beliefs.book.paces
+    paces = tools.beliefs.book.timings
     too_soon = leaves_before_run_ends(
         report.leaves_in_s,
         prefill_s=paces.usual_reading_s(engine.service),
@@ -39,7 +39,7 @@
     beliefs, service = tools.beliefs, plan.engine.service
     if not ranks_differ(plan, tools):
         return False
-    place = beliefs.book.place(
+    place = beliefs.book.choose_engine(
         tools.words.unlimited(beliefs.targets.serving(service)),
         limits=plan.limits,
         prompt_tokens=plan.run.prompt_tokens,
@@ -52,5 +52,5 @@
         memory_used=report.memory_used,
         memory_total=report.memory_total,
         elsewhere_s=place.expected_s if place is not None else None,
-        usual_prefill_s=beliefs.book.paces.usual_reading_s(service),
+        usual_prefill_s=beliefs.book.timings.usual_reading_s(service),
     )
--- a/lagoonlever/tests/copy_room_tests.py
+++ b/lagoonlever/tests/copy_room_tests.py
@@ -53,7 +53,7 @@
 
 
 def holder(scheduler: EngineScheduler, listed: list[ListedTarget], *, by_losses: bool) -> object:
-    return scheduler.place_copy(
+    return scheduler.choose_copy_holder(
         listed,
         limits=LIMITS,
         beside=listed[0],
@@ -66,7 +66,7 @@
 def crash(scheduler: EngineScheduler, listed: list[ListedTarget], data_center: str) -> None:
     for engine in listed:
         if engine.data_center == data_center:
-            scheduler.avoidance.failed(engine.id, 0.0)
+            scheduler.avoidance.record_failure(engine.id, 0.0)
 
 
 def test_runs_are_copied_in_a_burst_after_the_crash_of_a_data_centre() -> None:
--- a/lagoonlever/tests/crash_news_tests.py
+++ b/lagoonlever/tests/crash_news_tests.py
@@ -77,7 +77,7 @@
         for number, process in ((4, "a"), (5, "b"), (6, "c")):
             vms[number].sees_end(process)
             await trio.sleep(TOLD_S)
-        unaware = [vm.vm.state.life.name for vm in vms if "f1" not in vm.suspects.barred]
+        unaware = [vm.vm.state.life.name for vm in vms if "f1" not in vm.suspects.blocked]
         assert not unaware
 
     run_fleet(story)
@@ -90,11 +90,11 @@
         vms[4].sees_end("a")
         vms[5].sees_end("b")
         await trio.sleep(TOLD_S)
-        assert all(vm.suspects.ends for vm in vms)
-        vms[-1].suspects.served("f1", trio.current_time(), is_own=True)
+        assert all(vm.suspects.crashes for vm in vms)
+        vms[-1].suspects.record_answer("f1", trio.current_time(), is_own=True)
         vms[-1].news.tell(RequestServed(fingerprint="f1"))
         await trio.sleep(TOLD_S)
-        assert not any(vm.suspects.ends for vm in vms)
+        assert not any(vm.suspects.crashes for vm in vms)
 
     run_fleet(story)
 
@@ -109,13 +109,13 @@
         vms = await started(fleet, LARGE)
         for vm in vms[10:60]:
             name = vm.vm.state.life.name
-            vm.suspects.ended_under(name, "a", Crash(at=trio.current_time()))
+            vm.suspects.record_crash(name, "a", Crash(at=trio.current_time()))
             told = EndTold(fingerprint=name, process="a", age_s=0.0, weight=WEIGHT_STARTED)
             vm.news.tell(TargetsEnded(ends=(told,)))
         await trio.sleep(TOLD_S)
         hubs = 6
         assert messages(vms) <= 50 * 2 * hubs
-        plain = [vm for vm in vms[60:] if not vm.suspects.ends]
+        plain = [vm for vm in vms[60:] if not vm.suspects.crashes]
         assert len(plain) >= len(vms[60:]) - hubs
 
     run_fleet(story)
--- a/lagoonlever/tests/crash_records_tests.py
+++ b/lagoonlever/tests/crash_records_tests.py
@@ -59,7 +59,7 @@
         await trio.sleep(1.0)
         site.store.slow_s = 0.0
         await until_within(TOLD_S, lambda: site.store.value(RECORD_KEY) in (None, b"{}"))
-        assert not any(vm.daemon.parts.crashes._suspects.ends for vm in site.vms.values())
+        assert not any(vm.daemon.parts.crashes._suspects.crashes for vm in site.vms.values())
 
     run_site(story, engines=0, runners=8)
 
@@ -79,7 +79,7 @@
         await until(lambda: site.store.keys(RECORD_KEY))
         site.deadly.clear()
         assert (await call(site, "bid", vm="vm-1")).status == 200
-        await until(lambda: not site.vms["vm-0"].daemon.parts.crashes._suspects.ends)
+        await until(lambda: not site.vms["vm-0"].daemon.parts.crashes._suspects.crashes)
         await until_within(TOLD_S, lambda: site.store.value(RECORD_KEY) == b"{}")
         site.deadly.add(DEADLY)
         await call(site, "bid")
@@ -105,7 +105,7 @@
         await trio.sleep(2 * MAX_REPORT_DELAY_S)
         site.store.restore(before)
         await until_within(WATCH_S, lambda: site.store.value(RECORD_KEY) == b"{}")
-        assert not any(vm.daemon.parts.crashes._suspects.ends for vm in site.vms.values())
+        assert not any(vm.daemon.parts.crashes._suspects.crashes for vm in site.vms.values())
         site.deadly.add(DEADLY)
         await call(site, "bid")
         site.deadly.clear()
@@ -165,7 +165,7 @@
         await site.stream(DEADLY)
         assert len(site.deaths) == MOST_ENDED
         lost.clear()
-        await until(lambda: site.vms["vm-2"].daemon.parts.crashes._suspects.ends)
+        await until(lambda: site.vms["vm-2"].daemon.parts.crashes._suspects.crashes)
         got = await site.stream(DEADLY, vm="vm-2")
         assert (got.status, len(site.deaths)) == (503, MOST_ENDED)
 
@@ -188,7 +188,7 @@
         site.store.fault = StoreFault.REFUSING
         newcomer = await site.start_vm("vm-2")
         await site.wait_ready(newcomer)
-        await until(lambda: newcomer.daemon.parts.crashes._suspects.ends)
+        await until(lambda: newcomer.daemon.parts.crashes._suspects.crashes)
         got = await site.stream(DEADLY, vm="vm-2")
         assert (got.status, len(site.deaths)) == (503, MOST_ENDED)
 
--- a/lagoonlever/tests/crash_watch_tests.py
+++ b/lagoonlever/tests/crash_watch_tests.py
@@ -326,7 +326,7 @@
             for bus, to, message in held:
                 send_to_all(bus, to, message)
             held.clear()
-            await until_within(TOLD_S, lambda: not any(known.ends for known in suspects))
+            await until_within(TOLD_S, lambda: not any(known.crashes for known in suspects))
         assert len(site.deaths) == MOST_ENDED + 1
 
     run_site(story, engines=0, runners=8)
--- a/lagoonlever/tests/deadly_requests.py
+++ b/lagoonlever/tests/deadly_requests.py
@@ -22,7 +22,7 @@
     known = [vm.daemon.parts.crashes._suspects for vm in site.vms.values()]
 
     def all_know() -> bool:
-        counts = [sum(len(p) for p in suspects.ends.values()) for suspects in known]
+        counts = [sum(len(p) for p in suspects.crashes.values()) for suspects in known]
         return min(counts) >= len(site.deaths)
 
     await until_within(TOLD_S, all_know)
--- a/lagoonlever/tests/engine_book_tests.py
+++ b/lagoonlever/tests/engine_book_tests.py
@@ -42,7 +42,7 @@
 
 
 def chosen_engine(scheduler: EngineScheduler, now: float = 0.0, **more: object) -> str:
-    placement = scheduler.place(
+    placement = scheduler.choose_engine(
         ENGINES, limits=LIMITS, prompt_tokens=PROMPT, memory_tokens=MEMORY, now=now, **more
     )
     assert placement is not None
--- a/lagoonlever/tests/engine_crashes_tests.py
+++ b/lagoonlever/tests/engine_crashes_tests.py
@@ -58,7 +58,7 @@
     parts = [vm.daemon.parts.generations.crashes for vm in scene.cluster.vms.values()]
 
     def all_know() -> bool:
-        known = [sum(len(p) for p in crashes._suspects.ends.values()) for crashes in parts]
+        known = [sum(len(p) for p in crashes._suspects.crashes.values()) for crashes in parts]
         return min(known) >= ended(scene)
 
     with trio.fail_after(TOLD_S):
--- a/lagoonlever/tests/gateway_presence_tests.py
+++ b/lagoonlever/tests/gateway_presence_tests.py
@@ -345,7 +345,7 @@
             def failed(change: RunChange, source: str, vm: FleetVm = vm, take=take) -> None:
                 take(change)
                 assert isinstance(change, EngineLost)
-                vm.beliefs.book.avoidance.failed(change.engine, trio.current_time())
+                vm.beliefs.book.avoidance.record_failure(change.engine, trio.current_time())
 
             relays[name].relay._take = failed
         await trio.sleep(0.1)
--- a/lagoonlever/tests/prompt_admission_tests.py
+++ b/lagoonlever/tests/prompt_admission_tests.py
@@ -105,9 +105,9 @@
         now = site.vms["vm-0"].daemon.parts.timers.now
         for number in range(10):
             for name in site.engines:
-                book.paces.observe_prefill("engines", name, tokens=PROMPT, seconds=6.0, now=now)
-                book.paces.observe_decode("engines", name, token_s=0.012, now=now)
-            book.paces.observe_answer("engines", tokens=1_000, now=now)
+                book.timings.observe_prefill("engines", name, tokens=PROMPT, seconds=6.0, now=now)
+                book.timings.observe_decode("engines", name, token_s=0.012, now=now)
+            book.timings.observe_answer("engines", tokens=1_000, now=now)
             book.record_dispatch(run(f"f{number}", "engine-0"), now)
             book.record_dispatch(run(f"g{number}", "engine-1"), now)
             book.record_end(f"f{number}", now, whole=False)
@@ -135,13 +135,13 @@
         now = site.vms["vm-0"].daemon.parts.timers.now
         for _ in range(10):
             for name in site.engines:
-                book.paces.observe_prefill("engines", name, tokens=PROMPT, seconds=0.25, now=now)
-                book.paces.observe_decode("engines", name, token_s=0.004, now=now)
-            book.paces.observe_answer("engines", tokens=1_000, now=now)
+                book.timings.observe_prefill("engines", name, tokens=PROMPT, seconds=0.25, now=now)
+                book.timings.observe_decode("engines", name, token_s=0.004, now=now)
+            book.timings.observe_answer("engines", tokens=1_000, now=now)
         for number in range(MIN_PROMPTS + 4):
             book.record_dispatch(run(f"f{number}", "engine-0"), now)
             book.record_end(f"f{number}", now, whole=False)
-        load = book.reading_load("engines", engines=len(site.engines), now=now)
+        load = book.prefill_load("engines", engines=len(site.engines), now=now)
         assert load.prompts >= MIN_PROMPTS and 0.2 < load.share < 0.3
         got = await site.stream("p1", events=10, Deadline_Ms="4500")
         assert got.status == 200 and got.whole and got.is_events("p1", 1, 10)
--- a/lagoonlever/tests/prompt_queue_load_tests.py
+++ b/lagoonlever/tests/prompt_queue_load_tests.py
@@ -128,7 +128,7 @@
         await trio.sleep(for_s)
         for vm in self.vms:
             for name in names:
-                vm.vm.beliefs.book.started_again(name, 1, trio.current_time())
+                vm.vm.beliefs.book.record_restart(name, 1, trio.current_time())
 
     def share(self, rank: int) -> float:
         return self.in_time[rank] / self.sent[rank]
--- a/lagoonlever/tests/run_placement_tests.py
+++ b/lagoonlever/tests/run_placement_tests.py
@@ -138,7 +138,7 @@
     few = attrs.evolve(LIMITS, memory_tokens=6_500)
     alike = attrs.evolve(view(), limits=few)
     for gone in ("e8", "e9"):
-        alike.book.avoidance.failed(gone, 0.0)
+        alike.book.avoidance.record_failure(gone, 0.0)
     ask = attrs.evolve(ASK, settled="e1", attempt=False)
     outcome = place_run(ask, alike, 0.0)
     assert isinstance(outcome, Placed) and outcome.copy_to is None
--- a/lagoonlever/tests/store_restored_tests.py
+++ b/lagoonlever/tests/store_restored_tests.py
@@ -341,7 +341,7 @@
 async def record(kept: CrashRecords, suspects: CrashSuspects, fingerprint: str) -> None:
     """Have two ends under a request noted, and written to the record."""
     for process in ("p1", "p2"):
-        suspects.ended_under(fingerprint, process, Crash(at=trio.current_time(), weight=1.0))
+        suspects.record_crash(fingerprint, process, Crash(at=trio.current_time(), weight=1.0))
     await kept._until_done(kept._write)
 
 
--- a/lagoonlever/tests/uneven_engines_tests.py
+++ b/lagoonlever/tests/uneven_engines_tests.py
@@ -207,7 +207,7 @@
 
 
 def chosen(scheduler: EngineScheduler, now: float) -> str:
-    placement = scheduler.place(
+    placement = scheduler.choose_engine(
         THREE, limits=LIMITS, prompt_tokens=PROMPT, memory_tokens=MEMORY, now=now
     )
     assert placement is not None
--- a/lagoonlever/tests/uneven_placing_tests.py
+++ b/lagoonlever/tests/uneven_placing_tests.py
@@ -22,7 +22,7 @@
     load = ToldLoad(running=0.0, waiting=0.0, slots=16.0, slowness=1.0)
     beliefs.loads.told(LoadWord(target=engine, load=load, at=now))
     for _ in range(5):
-        beliefs.book.paces.observe_prefill(SERVICE, engine, tokens=PROMPT, seconds=pace, now=now)
+        beliefs.book.timings.observe_prefill(SERVICE, engine, tokens=PROMPT, seconds=pace, now=now)
 
 
 def test_the_log_tells_why_a_busier_engine_was_taken() -> None:
