--- a/lagoonlever/decisions/streams/run_placement.py
+++ b/lagoonlever/decisions/streams/run_placement.py
@@ -141,7 +141,7 @@
     """Give the prompts a second that the engines of a service can read that aren't avoided."""
     avoidance = view.book.avoidance
     calm = [e for e in view.targets.serving(service) if not avoidance.is_avoided(e.id, now)]
-    return max_prefills_per_s(len(calm), view.book.timings.usual_reading_s(service))
+    return max_prefills_per_s(len(calm), view.book.timings.usual_prefill_s(service))
 
 
 def reserved_run(ask: RunAsk, placed: Placed, *, vm: str) -> BookedRun:
@@ -212,12 +212,12 @@
     if ask.allowed_s is None:
         return None
     paces = view.book.timings
-    making_s = paces.usual_making_s(ask.service)
+    making_s = paces.usual_decode_s(ask.service)
     if making_s is None:
         return None
     most = max_prefill_share(
         decode_s=making_s,
-        prefill_s=paces.usual_reading_s(ask.service),
+        prefill_s=paces.usual_prefill_s(ask.service),
         allowed_s=ask.allowed_s,
         slowdown=paces.slowdown(ask.service),
     )
--- a/lagoonlever/gateway/report_uses.py
+++ b/lagoonlever/gateway/report_uses.py
@@ -17,8 +17,8 @@
     paces = tools.beliefs.book.timings
     too_soon = leaves_before_run_ends(
         report.leaves_in_s,
-        prefill_s=paces.usual_reading_s(engine.service),
-        decode_s=paces.usual_making_s(engine.service) or 0.0,
+        prefill_s=paces.usual_prefill_s(engine.service),
+        decode_s=paces.usual_decode_s(engine.service) or 0.0,
     )
     if report.leaves or too_soon:
         tools.words.reports_leaving(engine.id, report.started_ms)
@@ -52,5 +52,5 @@
         memory_used=report.memory_used,
         memory_total=report.memory_total,
         elsewhere_s=place.expected_s if place is not None else None,
-        usual_prefill_s=beliefs.book.timings.usual_reading_s(service),
+        usual_prefill_s=beliefs.book.timings.usual_prefill_s(service),
     )
--- a/lagoonlever/tests/pace_keeper_tests.py
+++ b/lagoonlever/tests/pace_keeper_tests.py
@@ -75,7 +75,7 @@
         for name in tuple(site.vms):
             await site.wait_ready(await site.start_vm(name))
         book = site.vms["vm-1"].daemon.parts.beliefs.book
-        await until(lambda: book.timings.kept())
+        await until(lambda: book.timings.stored_timings())
         got = await site.stream("p2", vm="vm-1", events=190, prompt_tokens=5000, Deadline_Ms="2500")
         assert got.status == 503
         assert not any(engine.read_tokens["p2"] for engine in site.engines.values())
