--- a/lagoonlever/gateway/learner.py
+++ b/lagoonlever/gateway/learner.py
@@ -134,7 +134,7 @@
         """Take the pace of the engine that had a target's address before it."""
         for former in self._beliefs.targets.targets:
             if former.address == target.address and former.id != target.id:
-                self._beliefs.book.paces.inherit(target.service, former.id, target.id)
+                self._beliefs.book.timings.copy_to_successor(target.service, former.id, target.id)
 
     def _note_start(self, target_id: str, former: int | None, *, source: str) -> None:
         """Let go of what was learnt of a target's process, if another one has its id now."""
@@ -146,7 +146,7 @@
         events.TARGET_STARTED_AGAIN.log(
             log, target=target_id, started_ms=started_ms, former_ms=former, source=source
         )
-        self._beliefs.book.started_again(target_id, started_ms, self._timers.now)
+        self._beliefs.book.record_restart(target_id, started_ms, self._timers.now)
         for notify in self._on_started_again:
             notify(target_id)
 
--- a/lagoonlever/gateway/pace_keeper.py
+++ b/lagoonlever/gateway/pace_keeper.py
@@ -17,7 +17,7 @@
 import msgspec
 import trio
 
-from lagoonlever.decisions.engines.engine_paces import KeptPace
+from lagoonlever.decisions.engines.engine_timings import StoredTimings
 from lagoonlever.decisions.fleet.roles import Roles
 from lagoonlever.exceptions import PlatformError
 from lagoonlever.gateway import events
@@ -43,7 +43,7 @@
     _roles: Published[Roles | None]
     _timers: TimerService
     _rng: random.Random
-    _stored: dict[str, KeptPace] = attrs.field(factory=dict)
+    _stored: dict[str, StoredTimings] = attrs.field(factory=dict)
     _record: StoreRecord = attrs.field(init=False)
 
     @_record.default
@@ -68,13 +68,13 @@
             return
         self._take()
         for service, pace in self._stored.items():
-            self._beliefs.book.paces.recall(service, pace, self._timers.now)
+            self._beliefs.book.timings.restore(service, pace, self._timers.now)
         if self._stored:
             events.PACES_RECALLED.log(log, paces=str(self._stored), revision=self._record.revision)
 
     async def _write(self) -> None:
         """Write the figures if they tell another thing than those that are stored."""
-        learnt = self._beliefs.book.paces.kept()
+        learnt = self._beliefs.book.timings.stored_timings()
         if self._record.revision.era != self._beliefs.targets.as_of.era:
             # The store has come back from an older copy, which may not have them.
             await self._read_anew()
@@ -97,9 +97,9 @@
             return
         self._take()
 
-    def _is_stored(self, service: str, pace: KeptPace) -> bool:
+    def _is_stored(self, service: str, pace: StoredTimings) -> bool:
         stored = self._stored.get(service)
-        return stored is not None and not stored.differs(pace)
+        return stored is not None and not stored.differs_from(pace)
 
     def _take(self) -> None:
         """Take what is stored; what can't be read is written over."""
@@ -107,6 +107,6 @@
         if self._record.value is None:
             return
         try:
-            self._stored = msgspec.json.decode(self._record.value, type=dict[str, KeptPace])
+            self._stored = msgspec.json.decode(self._record.value, type=dict[str, StoredTimings])
         except (msgspec.MsgspecError, RecursionError) as error:
             events.PACES_UNREADABLE.log(log, error=str(error))
--- a/lagoonlever/gateway/report_uses.py
+++ b/lagoonlever/gateway/report_uses.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from lagoonlever.decisions.engines.engine_reports import leaves_queue, leaves_too_soon
+from lagoonlever.decisions.engines.engine_reports import leaves_before_run_ends, should_leave_queue
 from lagoonlever.decisions.settings.configuration import RouteKind
 from lagoonlever.decisions.settings.load_parts import has_ranks
 from lagoonlever.gateway.attempt_tools import AttemptPlan, AttemptTools
@@ -14,11 +14,11 @@
     engine = plan.engine
     if report.started_ms is not None:
         tools.learner.take_start(engine.id, report.started_ms)
-    paces = tools.beliefs.book.paces
-    too_soon = leaves_too_soon(
+    paces = tools.beliefs.book.timings
+    too_soon = leaves_before_run_ends(
         report.leaves_in_s,
-        reading_s=paces.usual_reading_s(engine.service),
-        making_s=paces.usual_making_s(engine.service) or 0.0,
+        prefill_s=paces.usual_prefill_s(engine.service),
+        decode_s=paces.usual_decode_s(engine.service) or 0.0,
     )
     if report.leaves or too_soon:
         tools.words.reports_leaving(engine.id, report.started_ms)
@@ -39,7 +39,7 @@
     beliefs, service = tools.beliefs, plan.engine.service
     if not ranks_differ(plan, tools):
         return False
-    place = beliefs.book.place(
+    place = beliefs.book.choose_engine(
         tools.words.unlimited(beliefs.targets.serving(service)),
         limits=plan.limits,
         prompt_tokens=plan.run.prompt_tokens,
@@ -47,10 +47,10 @@
         now=tools.timers.now,
         avoid=frozenset({plan.engine.id}),
     )
-    return leaves_queue(
+    return should_leave_queue(
         first_waiting=report.first_waiting,
         memory_used=report.memory_used,
         memory_total=report.memory_total,
         elsewhere_s=place.expected_s if place is not None else None,
-        usual_s=beliefs.book.paces.usual_reading_s(service),
+        usual_prefill_s=beliefs.book.timings.usual_prefill_s(service),
     )
--- a/lagoonlever/gateway/stream_attempt.py
+++ b/lagoonlever/gateway/stream_attempt.py
@@ -6,9 +6,9 @@
 import logbook
 import trio
 
-from lagoonlever.decisions.engines.crash_ends import BEGAN, WAITED
 from lagoonlever.decisions.engines.engine_rank import rank_at_engine
 from lagoonlever.decisions.engines.engine_reports import is_preempted
+from lagoonlever.decisions.engines.target_crashes import WEIGHT_QUEUED, WEIGHT_STARTED
 from lagoonlever.decisions.streams.booked_runs import RunCopy
 from lagoonlever.decisions.streams.life import EventVerdict, StreamLife
 from lagoonlever.decisions.streams.silence import (
@@ -204,7 +204,7 @@
 
     def _new_silence(self) -> StreamSilence:
         route, service = self._accepted.route, self._accepted.service
-        usual_s = self._tools.beliefs.book.paces.usual_reading_s(service)
+        usual_s = self._tools.beliefs.book.timings.usual_prefill_s(service)
         return StreamSilence(
             sent_at=self._now,
             first_ask_s=first_ask_s(usual_reading_s=usual_s, objective_s=route.objective_s),
@@ -241,7 +241,7 @@
         self._count("answered")
         self._counts.whole(self._now)
         self._life.whole = True
-        self._tools.beliefs.book.avoidance.served(self._plan.engine.id)
+        self._tools.beliefs.book.avoidance.record_success(self._plan.engine.id)
         self._tools.crashes.served(self._accepted)
         await self._copies.free()
         return head
@@ -411,7 +411,7 @@
             self._counts.failed()
         self._life.lost(engine.id, str(ended), alive=alive, read=self._has_read)
         if alive:
-            self._tools.beliefs.book.avoidance.broke(engine.id, self._now)
+            self._tools.beliefs.book.avoidance.record_broken_answer(engine.id, self._now)
         else:
             self._peers.engine_lost(engine.id, replaced=False)
             if self._signs.alive_at is not None:
@@ -433,8 +433,8 @@
         if self._flowing:
             return 0.0
         if self._answered:
-            return BEGAN
-        return 0.0 if ended.unanswered or self._life.position else WAITED
+            return WEIGHT_STARTED
+        return 0.0 if ended.unanswered or self._life.position else WEIGHT_QUEUED
 
     @property
     def _has_read(self) -> bool:
@@ -451,7 +451,7 @@
         serving = self._tools.words.unlimited(serving)
         request, limits = self._accepted.request_id, self._plan.limits
         book = self._tools.beliefs.book
-        if book.has_better(request, serving, limits=limits, now=self._now):
+        if book.should_move(request, serving, limits=limits, now=self._now):
             raise _Moved
 
     def _copied(self, copy: RunCopy) -> None:
--- a/lagoonlever/tests/suspect_gathering_tests.py
+++ b/lagoonlever/tests/suspect_gathering_tests.py
@@ -1,59 +1,66 @@
-"""Where the returns of a request are brought together that ends its engines."""
+"""The engine to which all attempts of a suspected poison request go."""
 
 from __future__ import annotations
 
-from lagoonlever.decisions.engines.crash_ends import BEGAN, WAITED, End, process_name
 from lagoonlever.decisions.engines.crash_suspects import CrashSuspects
-from lagoonlever.decisions.engines.suspect_gathering import gathering_engine
+from lagoonlever.decisions.engines.suspect_placement import choose_suspect_engine
+from lagoonlever.decisions.engines.target_crashes import (
+    WEIGHT_QUEUED,
+    WEIGHT_STARTED,
+    Crash,
+    process_name,
+)
 
 NAMES = tuple(f"engine-{number}" for number in range(12))
 PROCESSES = {name: process_name(name, 1) for name in NAMES}
 
 
 def suspects(*weights: float) -> CrashSuspects:
-    """Give what is known of a request with such ends."""
+    """Return the registry after crashes of these weights under the request."""
     known = CrashSuspects()
     for number, weight in enumerate(weights):
-        known.ended_under("f", f"p-{number}", End(at=float(number), weight=weight))
+        known.record_crash("f", f"p-{number}", Crash(at=float(number), weight=weight))
     return known
 
 
-def test_every_order_of_the_list_gives_the_same_engine() -> None:
+def test_the_choice_does_not_depend_on_the_order_of_the_list() -> None:
     backward = dict(reversed(PROCESSES.items()))
-    assert gathering_engine("f", backward, ended=()) == gathering_engine("f", PROCESSES, ended=())
+    assert choose_suspect_engine("f", backward, ended=()) == choose_suspect_engine(
+        "f", PROCESSES, ended=()
+    )
 
 
-def test_an_engine_that_is_known_to_one_vm_only_changes_the_place_to_that_one_at_most() -> None:
-    """Guards against lists that differ for a moment and send each return elsewhere."""
-    found = gathering_engine("f", PROCESSES, ended=())
+def test_an_engine_that_only_one_vm_knows_changes_the_choice_to_itself_at_most() -> None:
+    """Guards against lists that differ for a moment and send each attempt elsewhere."""
+    found = choose_suspect_engine("f", PROCESSES, ended=())
     for number in range(50):
         newcomer = f"new-{number}"
         wider = {**PROCESSES, newcomer: process_name(newcomer, 1)}
-        assert gathering_engine("f", wider, ended=()) in (found, newcomer)
+        assert choose_suspect_engine("f", wider, ended=()) in (found, newcomer)
 
 
-def test_requests_are_not_all_brought_to_one_engine() -> None:
-    found = {gathering_engine(f"f-{number}", PROCESSES, ended=()) for number in range(100)}
+def test_suspected_requests_are_spread_over_all_engines() -> None:
+    found = {choose_suspect_engine(f"f-{number}", PROCESSES, ended=()) for number in range(100)}
     assert found == set(NAMES)
 
 
-def test_a_process_that_has_ended_under_the_request_is_passed_over() -> None:
-    """Guards against VMs whose list still has the engine of the last end."""
-    found = gathering_engine("f", PROCESSES, ended=())
+def test_a_process_that_has_crashed_under_the_request_is_not_chosen() -> None:
+    """Guards against VMs whose list still has the process of the last crash."""
+    found = choose_suspect_engine("f", PROCESSES, ended=())
     assert found is not None
-    assert gathering_engine("f", PROCESSES, ended={process_name(found, 1)}) != found
-    assert gathering_engine("f", PROCESSES, ended={process_name(found, 0)}) == found
-    assert gathering_engine("f", PROCESSES, ended=set(PROCESSES.values())) is None
+    assert choose_suspect_engine("f", PROCESSES, ended={process_name(found, 1)}) != found
+    assert choose_suspect_engine("f", PROCESSES, ended={process_name(found, 0)}) == found
+    assert choose_suspect_engine("f", PROCESSES, ended=set(PROCESSES.values())) is None
 
 
-def test_a_request_is_gathered_from_the_second_end_to_the_third() -> None:
-    assert not suspects().is_next_to_last("f")
-    assert not suspects(BEGAN).is_next_to_last("f")
-    assert suspects(BEGAN, BEGAN).is_next_to_last("f")
-    assert not suspects(BEGAN, BEGAN, BEGAN).is_next_to_last("f")
+def test_a_request_goes_to_one_engine_between_its_second_and_third_crash() -> None:
+    assert not suspects().is_one_crash_from_block("f")
+    assert not suspects(WEIGHT_STARTED).is_one_crash_from_block("f")
+    assert suspects(WEIGHT_STARTED, WEIGHT_STARTED).is_one_crash_from_block("f")
+    assert not suspects(WEIGHT_STARTED, WEIGHT_STARTED, WEIGHT_STARTED).is_one_crash_from_block("f")
 
 
-def test_ends_at_which_a_request_may_only_have_waited_count_half() -> None:
-    """Guards against streams that crashes of a data centre have followed, kept to one engine."""
-    assert not suspects(BEGAN, WAITED).is_next_to_last("f")
-    assert suspects(BEGAN, WAITED, WAITED).is_next_to_last("f")
+def test_crashes_where_a_request_may_only_have_been_queued_count_half() -> None:
+    """Guards against restricting streams to one engine that met crashes of a whole data centre."""
+    assert not suspects(WEIGHT_STARTED, WEIGHT_QUEUED).is_one_crash_from_block("f")
+    assert suspects(WEIGHT_STARTED, WEIGHT_QUEUED, WEIGHT_QUEUED).is_one_crash_from_block("f")
