--- a/lagoonlever/bench/stream_day_model.py
+++ b/lagoonlever/bench/stream_day_model.py
@@ -29,7 +29,7 @@
     max_prefill_share,
     random_retry_after_s,
 )
-from lagoonlever.decisions.engines.engine_book import EngineBook
+from lagoonlever.decisions.engines.engine_scheduler import EngineScheduler
 from lagoonlever.decisions.settings.configuration import EngineLimits
 from lagoonlever.decisions.streams.booked_runs import BookedRun, RunCopy
 from lagoonlever.decisions.streams.life import GiveUp, Place, ResumeFrom, StreamLife, WaitForEngine
@@ -57,7 +57,7 @@
     _policy: DayPolicy
     _seed: int
     _rng: random.Random = attrs.field(init=False)
-    _book: EngineBook = attrs.field(init=False)
+    _book: EngineScheduler = attrs.field(init=False)
     _limits: EngineLimits = attrs.field(init=False)
     _engines: dict[str, ModelEngine] = attrs.field(factory=dict)
     _listed: dict[str, ListedTarget] = attrs.field(factory=dict)
@@ -73,11 +73,11 @@
         return random.Random(self._seed)
 
     @_book.default
-    def _make_book(self) -> EngineBook:
-        return EngineBook(
+    def _make_book(self) -> EngineScheduler:
+        return EngineScheduler(
             rng=random.Random(self._seed + 1),
             data_center=DATA_CENTERS[0],
-            copies_most=self._policy.copies_most,
+            max_copies_share=self._policy.copies_most,
         )
 
     @_limits.default
@@ -175,7 +175,7 @@
         self._hold_copy(stream, stream.run)
 
     def _unlist(self, name: str, now: float) -> None:
-        self._book.avoidance.failed(name, now)
+        self._book.avoidance.record_failure(name, now)
         self._listed.pop(name, None)
 
     def _lose(self, stream: ModelStream, attempt: int, now: float) -> None:
@@ -211,16 +211,16 @@
         """Refuse a new prompt that engines can't bear; its caller may come back later."""
         if stream.life.sent or stream.life.position or not self._policy.admission:
             return False
-        making_s = self._book.paces.usual_making_s(SERVICE)
+        making_s = self._book.timings.usual_decode_s(SERVICE)
         if making_s is None:
             return False
         most = max_prefill_share(
             decode_s=making_s,
-            prefill_s=self._book.paces.usual_reading_s(SERVICE),
+            prefill_s=self._book.timings.usual_prefill_s(SERVICE),
             allowed_s=self._plan.deadline_s,
-            slowdown=self._book.paces.slowdown(SERVICE),
+            slowdown=self._book.timings.slowdown(SERVICE),
         )
-        load = self._book.reading_load(SERVICE, engines=len(self._listed), now=now)
+        load = self._book.prefill_load(SERVICE, engines=len(self._listed), now=now)
         if admits_prompt(load, max_share=most):
             return False
         stream.refused += 1
@@ -229,7 +229,7 @@
         return True
 
     def _place(self, stream: ModelStream, step: Place, now: float) -> None:
-        placement = self._book.place(
+        placement = self._book.choose_engine(
             self._listed.values(),
             limits=self._limits,
             prompt_tokens=stream.prompt,
@@ -276,14 +276,14 @@
             part=stream.request,
             copy=copy,
         )
-        self._book.begin(booked, now)
+        self._book.record_dispatch(booked, now)
         engine.take(run)
         self._wake(engine, now)
 
     def _copy_of(self, stream: ModelStream, engine: ModelEngine, now: float) -> RunCopy | None:
         if not self._policy.copies:
             return None
-        holder = self._book.place_copy(
+        holder = self._book.choose_copy_holder(
             self._listed.values(),
             limits=self._limits,
             beside=self._listed.get(engine.id) or _unlisted(engine),
@@ -313,7 +313,7 @@
             self._leave(stream, at)
             event_s = stream.life.pace.event_s()
             token_s = None if event_s is None else event_s / stream.event_tokens
-            self._book.end(
+            self._book.record_end(
                 stream.request,
                 at,
                 whole=True,
@@ -324,7 +324,7 @@
 
     def _first_event(self, stream: ModelStream, run: ModelRun, at: float) -> None:
         stream.life.flows()
-        self._book.flows(stream.request, at)
+        self._book.record_first_event(stream.request, at)
         self._hold_copy(stream, run)
 
     def _hold_copy(self, stream: ModelStream, run: ModelRun) -> None:
--- a/lagoonlever/bench/target_limits_model.py
+++ b/lagoonlever/bench/target_limits_model.py
@@ -14,10 +14,10 @@
 
 from lagoonlever.decisions.fleet.rendezvous import rank_by_hash
 from lagoonlever.decisions.targets.limit_permits import (
-    FIRST_NEED,
+    MIN_REQUIRED_PERMITS,
+    DeniedTargets,
     Granted,
-    HeldTargets,
-    PermitBook,
+    PermitBuckets,
 )
 
 WINDOW_S = 4.0
@@ -91,8 +91,8 @@
     _names: list[str] = attrs.field(init=False)
     _noticed: dict[str, float] = attrs.field(factory=dict)
     _buckets: dict[tuple[str, str], _Bucket] = attrs.field(factory=dict)
-    _books: dict[str, PermitBook] = attrs.field(factory=dict)
-    _held: dict[str, HeldTargets] = attrs.field(factory=dict)
+    _books: dict[str, PermitBuckets] = attrs.field(factory=dict)
+    _held: dict[str, DeniedTargets] = attrs.field(factory=dict)
     _ranks: dict[str, list[str]] = attrs.field(factory=dict)
     _arrived: dict[str, list[float]] = attrs.field(factory=dict)
 
@@ -147,19 +147,19 @@
         return self._ranks[target]
 
     def _ask(self, vm: str, target: str, counter: str, dead: str, now: float) -> bool:
-        held = self._held.setdefault(vm, HeldTargets())
-        if held.is_held(target, need=FIRST_NEED, now=now):
+        held = self._held.setdefault(vm, DeniedTargets())
+        if held.is_denied(target, need=MIN_REQUIRED_PERMITS, now=now):
             return False
         is_gone = counter == dead and now >= DIES_AT_S
         if counter != vm and (is_gone or self._rng.random() < 2 * self._case.lost):
-            held.hold(target, need=FIRST_NEED, until=now + UNSURE_S)
+            held.record_denial(target, need=MIN_REQUIRED_PERMITS, until=now + UNSURE_S)
             return False
-        book = self._books.setdefault(counter, PermitBook())
-        outcome = book.ask(target, per_s=self._case.per_s, need=FIRST_NEED, now=now)
+        book = self._books.setdefault(counter, PermitBuckets())
+        outcome = book.acquire(target, per_s=self._case.per_s, need=MIN_REQUIRED_PERMITS, now=now)
         if isinstance(outcome, Granted):
             return True
         wait_s = outcome.wait_s * self._rng.uniform(1.0, 1.0 + HOLD_SPREAD)
-        held.hold(target, need=FIRST_NEED, until=now + wait_s)
+        held.record_denial(target, need=MIN_REQUIRED_PERMITS, until=now + wait_s)
         return False
 
     def _bucket(self, vm: str, target: str) -> _Bucket:
--- a/lagoonlever/gateway/call_desk.py
+++ b/lagoonlever/gateway/call_desk.py
@@ -14,7 +14,7 @@
     CapacityOutcome,
     RejectedWithRetryAfter,
 )
-from lagoonlever.decisions.targets.call_desks import groups_of
+from lagoonlever.decisions.targets.call_coordinators import runner_groups
 from lagoonlever.gateway import events_calls as events
 from lagoonlever.gateway import metrics
 from lagoonlever.gateway.beliefs import Beliefs
@@ -142,7 +142,7 @@
         """Give a line with the runners of its group, as they are listed now."""
         serving = self._beliefs.targets.serving(service)
         able = {each.id: each.data_center for each in serving if not self._rests(each.id)}
-        groups = groups_of(service, (each.id for each in serving))
+        groups = runner_groups(service, (each.id for each in serving))
         names = groups[group] if group < len(groups) else ()
         kept = self._lines.get((service, group))
         if kept is None:
--- a/lagoonlever/gateway/learner.py
+++ b/lagoonlever/gateway/learner.py
@@ -60,8 +60,8 @@
         if revision < registry.as_of:
             return ()
         listed = tuple(targets)
-        former = {target.id: registry.start_of(target.id) for target in listed}
-        changes = registry.read(
+        former = {target.id: registry.process_start(target.id) for target in listed}
+        changes = registry.apply_list(
             listed, revision=revision, now=self._timers.now, store_back_at=store_back_at
         )
         for target in listed:
@@ -81,10 +81,10 @@
         """Take one change of the list of targets; gives whether it counts now."""
         registry = self._beliefs.targets
         known = change.target or registry.find(change.id)
-        former = registry.start_of(change.id)
+        former = registry.process_start(change.id)
         if change.target is not None:
             self._note_machine(change.target)
-        counts = registry.change(change, now=self._timers.now, store_back_at=store_back_at)
+        counts = registry.apply_change(change, now=self._timers.now, store_back_at=store_back_at)
         if counts and known is not None:
             self._log_change(change, known)
             self._note_start(change.id, former, source="list")
@@ -92,21 +92,23 @@
 
     def take_start(self, target_id: str, started_ms: int) -> None:
         """Take the start of its process that a target tells in an answer."""
-        former = self._beliefs.targets.start_of(target_id)
-        if self._beliefs.targets.started_again(target_id, started_ms):
+        former = self._beliefs.targets.process_start(target_id)
+        if self._beliefs.targets.record_restart(target_id, started_ms):
             self._note_start(target_id, former, source="its own answer")
 
     def take_leaving(self, target_id: str, started_ms: int | None, *, source: str) -> bool:
         """Take a target's word that it leaves; gives whether it is news."""
         registry = self._beliefs.targets
-        if not registry.says_leaving(target_id, started_ms=started_ms, now=self._timers.now):
+        if not registry.record_leave_announcement(
+            target_id, started_ms=started_ms, now=self._timers.now
+        ):
             return False
         events.TARGET_SAYS_LEAVING.log(log, target=target_id, source=source)
         return True
 
     def take_found(self, former: str, found: str, *, source: str) -> bool:
         """Take a process that has a lost target's place; gives whether it counts."""
-        counts = self._beliefs.targets.found(former, found, self._timers.now)
+        counts = self._beliefs.targets.adopt_unlisted(former, found, self._timers.now)
         if counts:
             events.REPLACEMENT_FOUND.log(log, target=found, former=former, source=source)
         return counts
@@ -126,25 +128,25 @@
         if not registry.takes_work(target_id):
             return
         events.TARGET_REPLACED.log(log, target=target_id, source=source)
-        registry.replaced(target_id, self._timers.now)
+        registry.mark_replaced(target_id, self._timers.now)
 
     def _note_machine(self, target: ListedTarget) -> None:
         """Take the pace of the engine that had a target's address before it."""
         for former in self._beliefs.targets.targets:
             if former.address == target.address and former.id != target.id:
-                self._beliefs.book.paces.inherit(target.service, former.id, target.id)
+                self._beliefs.book.timings.copy_to_successor(target.service, former.id, target.id)
 
     def _note_start(self, target_id: str, former: int | None, *, source: str) -> None:
         """Let go of what was learnt of a target's process, if another one has its id now."""
         target = self._beliefs.targets.find(target_id)
-        if target is None or not target.has_started_again(former):
+        if target is None or not target.has_restarted_since(former):
             return
         started_ms = target.started_ms
         assert started_ms is not None
         events.TARGET_STARTED_AGAIN.log(
             log, target=target_id, started_ms=started_ms, former_ms=former, source=source
         )
-        self._beliefs.book.started_again(target_id, started_ms, self._timers.now)
+        self._beliefs.book.record_restart(target_id, started_ms, self._timers.now)
         for notify in self._on_started_again:
             notify(target_id)
 
--- a/lagoonlever/gateway/peers.py
+++ b/lagoonlever/gateway/peers.py
@@ -87,7 +87,7 @@
 
     def vm_lost(self, name: str) -> None:
         """Let go of the runs of a VM that is gone."""
-        self._beliefs.book.vm_lost(name, self._timers.now)
+        self._beliefs.book.record_vm_loss(name, self._timers.now)
 
     def begin(self, run: BookedRun) -> None:
         """Book a run of this VM, and tell the others."""
@@ -99,7 +99,7 @@
 
         Three in five copies are refreshed ones: 57 of 95 in 25 s of calm traffic at nine VMs.
         """
-        if self._beliefs.book.copied(request, copy):
+        if self._beliefs.book.record_copy(request, copy):
             self._relay.tell(RunCopied(request=request, copy=copy))
 
     def flows(self, request: str) -> None:
@@ -109,9 +109,9 @@
         as a stream begins there, by messages that pass anyway.
         """
         now = self._timers.now
-        self._beliefs.book.flows(request, now)
-        run = self._beliefs.book.run_of(request)
-        word = self._beliefs.loads.word(run.engine) if run is not None else None
+        self._beliefs.book.record_first_event(request, now)
+        run = self._beliefs.book.find_run(request)
+        word = self._beliefs.loads.latest_report(run.engine) if run is not None else None
         self._relay.tell(RunFlows(request=request, load=EngineWord.of(word, now)))
 
     def end(self, ended: RunEnded) -> None:
@@ -123,7 +123,7 @@
         """Note that an engine failed, and tell the others unless they know."""
         now = self._timers.now
         known = self._beliefs.book.avoidance.is_avoided(engine, now)
-        self._beliefs.book.avoidance.failed(engine, now)
+        self._beliefs.book.avoidance.record_failure(engine, now)
         if replaced:
             self._learner.take_replaced(engine, source="answer")
         if replaced or not known:
@@ -143,12 +143,12 @@
     def _keep_book(self, _: Tick) -> None:
         """Let go of what was heard before others were left to hear it."""
         if not self.holds_book():
-            self._beliefs.book.forget_others(self._vm)
+            self._beliefs.book.forget_other_vms(self._vm)
 
     async def _receive_lists(self) -> None:
         async for received in self._bus.subscribe(RunList):
             for run in received.message.runs:
-                self._beliefs.book.learn(run, self._timers.now)
+                self._beliefs.book.record_reported_run(run, self._timers.now)
 
     async def _receive_book_asks(self) -> None:
         async for received in self._bus.subscribe(BookAsk):
@@ -188,28 +188,28 @@
         elif isinstance(change, BookedRun):
             if change.vm != self._vm:
                 self._book(change)
-        elif book.vm_of(change.request) == self._vm:
+        elif book.find_relay_vm(change.request) == self._vm:
             return
         elif isinstance(change, RunFlows):
-            book.flows(change.request, self._timers.now)
+            book.record_first_event(change.request, self._timers.now)
             self._take_load(change)
         elif isinstance(change, RunCopied):
-            book.copied(change.request, change.copy)
+            book.record_copy(change.request, change.copy)
         else:
             self._end(change)
 
     def _take_load(self, change: RunFlows) -> None:
         """Take an engine's word that another VM passes on, unless it is of a former process."""
-        run = self._beliefs.book.run_of(change.request)
+        run = self._beliefs.book.find_run(change.request)
         if run is None or change.load is None:
             return
         engine = self._beliefs.targets.find(run.engine)
         if engine is None or engine.is_later_than(run.engine_started_ms):
             return
-        self._beliefs.loads.passed_on(change.load.word(run, self._timers.now))
+        self._beliefs.loads.record_relayed_report(change.load.word(run, self._timers.now))
 
     def _end(self, ended: RunEnded) -> None:
-        self._beliefs.book.end(
+        self._beliefs.book.record_end(
             ended.request,
             self._timers.now,
             whole=ended.whole,
@@ -224,12 +224,14 @@
         engine = self._beliefs.targets.find(run.engine)
         if engine is not None:
             window = self._budgets.of_runs(engine.service)
-            count = window.record_retry if book.knows(run.request) else window.record_request
+            count = (
+                window.record_retry if book.is_dispatched(run.request) else window.record_request
+            )
             count(now)
-        book.begin(run, now)
+        book.record_dispatch(run, now)
 
     def _take_engine_lost(self, lost: EngineLost, source: str) -> None:
-        self._beliefs.book.avoidance.failed(lost.engine, self._timers.now)
+        self._beliefs.book.avoidance.record_failure(lost.engine, self._timers.now)
         if lost.replaced:
             self._learner.take_replaced(lost.engine, source=source)
         else:
--- a/lagoonlever/gateway/placer.py
+++ b/lagoonlever/gateway/placer.py
@@ -14,7 +14,7 @@
 import logbook
 import trio
 
-from lagoonlever.decisions.engines.engine_paces import KeptPace
+from lagoonlever.decisions.engines.engine_timings import StoredTimings
 from lagoonlever.decisions.engines.uneven_engines import UnevenChoice
 from lagoonlever.decisions.fleet.roles import Roles
 from lagoonlever.decisions.fleet.update_routing import placement_hubs
@@ -121,7 +121,7 @@
 
         A run that has given no event is none to go on from.
         """
-        run = self._beliefs.book.last_run_of(part)
+        run = self._beliefs.book.find_unfinished_run(part)
         if run is not None and run.flowing:
             return FormerRunTold(number=number, run=run)
         if not returning:
@@ -171,10 +171,10 @@
         state = self._beliefs.fellows.find(hub)
         return state.bus if state is not None else None
 
-    def _recall(self, service: str, pace: KeptPace | None) -> None:
+    def _recall(self, service: str, pace: StoredTimings | None) -> None:
         """Take what the hub knows of the engines, where this VM has seen no stream yet."""
         if pace is not None:
-            self._beliefs.book.paces.recall(service, pace, self._timers.now)
+            self._beliefs.book.timings.restore(service, pace, self._timers.now)
 
 
 def _log_choice(request: str, choice: UnevenChoice) -> None:
--- a/lagoonlever/peers/messages_gateway.py
+++ b/lagoonlever/peers/messages_gateway.py
@@ -13,8 +13,8 @@
 from lagoonlever.decisions.fleet.peer_table import PeerState
 from lagoonlever.decisions.streams.booked_runs import BookedRun, RunCopy
 from lagoonlever.decisions.targets.listed_target import ListedTarget, TargetChange
-from lagoonlever.decisions.targets.load_view import MOMENT_S
-from lagoonlever.decisions.targets.told_load import LoadWord, ToldLoad
+from lagoonlever.decisions.targets.load_view import SLOWDOWN_DURATION_S
+from lagoonlever.decisions.targets.reported_load import LoadReport, ReportedLoad
 from lagoonlever.http.messages import Address
 from lagoonlever.peers.messages import PEER
 from lagoonlever.revisions import NOWHERE, Revision
@@ -82,9 +82,9 @@
     age_ms: int
 
     @classmethod
-    def of(cls, word: LoadWord | None, now: float) -> EngineWord | None:
+    def of(cls, word: LoadReport | None, now: float) -> EngineWord | None:
         """Give what is passed on of a word: one that tells slowness, while it is fresh."""
-        if word is None or word.load.slowness is None or now - word.at > MOMENT_S:
+        if word is None or word.load.slowness is None or now - word.at > SLOWDOWN_DURATION_S:
             return None
         return cls(
             running=round(word.load.running),
@@ -94,15 +94,15 @@
             age_ms=round(1000 * max(0.0, now - word.at)),
         )
 
-    def word(self, run: BookedRun, now: float) -> LoadWord:
+    def word(self, run: BookedRun, now: float) -> LoadReport:
         """Give the word of a run's engine, by the clock of the VM that hears of it."""
-        load = ToldLoad(
+        load = ReportedLoad(
             running=float(self.running),
             waiting=float(self.waiting),
             slots=float(self.slots),
             slowness=self.slowness_pct / 100,
         )
-        return LoadWord(
+        return LoadReport(
             target=run.engine,
             load=load,
             at=now - max(0, self.age_ms) / 1000,
--- a/lagoonlever/tests/call_queue_machine_tests.py
+++ b/lagoonlever/tests/call_queue_machine_tests.py
@@ -17,7 +17,7 @@
     QueuedForCapacity,
     RejectedWithRetryAfter,
 )
-from lagoonlever.decisions.targets.told_load import ToldLoad
+from lagoonlever.decisions.targets.reported_load import ReportedLoad
 
 RUNNERS = ("a", "b", "c")
 SLOTS = 2.0
@@ -42,7 +42,7 @@
     def report_load(self, slowness: list[float]) -> None:
         self.queue.retain(dict.fromkeys(RUNNERS, "dc"))
         for name, slowdown in zip(RUNNERS, slowness, strict=True):
-            load = ToldLoad(running=0, waiting=0, slots=SLOTS, slowness=slowdown)
+            load = ReportedLoad(running=0, waiting=0, slots=SLOTS, slowness=slowdown)
             self.queue.record_end("-", name, CallEnd.ANSWERED, self.now, seconds=0.07, load=load)
 
     @rule(
@@ -84,7 +84,7 @@
         request = data.draw(st.sampled_from(sorted(self.granted)))
         runner = self.granted.pop(request)
         self.over.add(request)
-        load = ToldLoad(running=running, waiting=0, slots=SLOTS, slowness=slowness)
+        load = ReportedLoad(running=running, waiting=0, slots=SLOTS, slowness=slowness)
         self.queue.record_end(request, runner, end, self.now, seconds=0.07, load=load)
         self.tick()
 
--- a/lagoonlever/tests/call_queue_tests.py
+++ b/lagoonlever/tests/call_queue_tests.py
@@ -17,7 +17,7 @@
     QueuedForCapacity,
     RejectedWithRetryAfter,
 )
-from lagoonlever.decisions.targets.told_load import ToldLoad
+from lagoonlever.decisions.targets.reported_load import ReportedLoad
 
 OBJECTIVE_S = 0.25
 FULL = 2 * (2 + MAX_QUEUED_PER_RUNNER)
@@ -46,8 +46,8 @@
     return SlotRequest(capacity=capacity, data_center=data_center, avoid=avoid)
 
 
-def load_report(slowness: float = 1.0, *, running: float = 0, slots: float = 2) -> ToldLoad:
-    return ToldLoad(running=running, waiting=0, slots=slots, slowness=slowness)
+def load_report(slowness: float = 1.0, *, running: float = 0, slots: float = 2) -> ReportedLoad:
+    return ReportedLoad(running=running, waiting=0, slots=slots, slowness=slowness)
 
 
 def queue_of(**slowness: float) -> CallQueue:
--- a/lagoonlever/tests/limits_fleet_tests.py
+++ b/lagoonlever/tests/limits_fleet_tests.py
@@ -11,9 +11,9 @@
 
 from lagoonlever.bench.local_fleet import Fleet, FleetVm, run_fleet, start_many
 from lagoonlever.decisions.fleet.roles import assign_roles
-from lagoonlever.decisions.targets.limit_permits import FIRST_NEED, Granted
+from lagoonlever.decisions.targets.limit_permits import MIN_REQUIRED_PERMITS, Granted
 from lagoonlever.decisions.targets.listed_target import ListedTarget, TargetChange
-from lagoonlever.decisions.targets.named_limits import NamedLimits
+from lagoonlever.decisions.targets.named_limits import ReportedLimits
 from lagoonlever.gateway.hub_spread import HubSpread
 from lagoonlever.gateway.messages import AnswerHead
 from lagoonlever.gateway.permit_exchange import PermitExchange
@@ -92,9 +92,9 @@
 
     async def request(self, target: Target) -> None:
         """Send one request, if that may be."""
-        if not self.limits.open([TARGET], need=FIRST_NEED):
+        if not self.limits.open([TARGET], need=MIN_REQUIRED_PERMITS):
             return
-        permit = await self.limits.permit("t", need=FIRST_NEED)
+        permit = await self.limits.permit("t", need=MIN_REQUIRED_PERMITS)
         if isinstance(permit, Granted) and self.limits.covers("t", permit):
             sent_at = trio.current_time()
             self.limits.heard("t", await target.answer(), sent_at=sent_at)
@@ -102,9 +102,9 @@
 
 def limit_vm(vm: FleetVm) -> LimitVm:
     """Give a VM its part in keeping to limits."""
-    name, named, roles = vm.state.life.name, NamedLimits(), vm.presence.roles
+    name, named, roles = vm.state.life.name, ReportedLimits(), vm.presence.roles
     change = TargetChange(id="t", target=TARGET, revision=Revision(number=1))
-    vm.beliefs.targets.change(change, now=0.0, store_back_at=None)
+    vm.beliefs.targets.apply_change(change, now=0.0, store_back_at=None)
     permits = PermitExchange(
         bus=vm.bus,
         beliefs=vm.beliefs,
@@ -139,7 +139,7 @@
         limits = limit_vm(vm).limits
         entry = attrs.evolve(TARGET, started_ms=100)
         change = TargetChange(id="t", target=entry, revision=Revision(number=2))
-        vm.beliefs.targets.change(change, now=0.0, store_back_at=None)
+        vm.beliefs.targets.apply_change(change, now=0.0, store_back_at=None)
         told = WordTold(target="t", per_s=PER_S, age_s=0.0, started_ms=told_ms)
         assert limits._permits.learn(told) == counts
 
--- a/lagoonlever/tests/pace_keeper_tests.py
+++ b/lagoonlever/tests/pace_keeper_tests.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lagoonlever.decisions.engines.engine_paces import EnginePaces, KeptPace
+from lagoonlever.decisions.engines.engine_timings import EngineTimings, StoredTimings
 from lagoonlever.fakes.metadata_store import StoreFault
 from lagoonlever.gateway import pace_keeper
 from lagoonlever.gateway.pace_keeper import PACES_KEY
@@ -17,7 +17,7 @@
 from lagoonlever.tests.engine_paces_tests import SERVICE, needed_s, seen
 from lagoonlever.tests.gateway_site import GatewaySite, run_site, until
 
-KEPT = KeptPace(prompt_token_s=0.0002, token_s=0.009, reading_s=2.0)
+KEPT = StoredTimings(prompt_token_s=0.0002, token_s=0.009, reading_s=2.0)
 FIGURE = st.floats(min_value=1e-9, max_value=1e9)
 
 
@@ -27,13 +27,13 @@
 
 
 def test_what_was_kept_holds_until_streams_were_seen() -> None:
-    paces = EnginePaces()
-    paces.recall(SERVICE, KEPT, 0.0)
-    assert paces.usual_reading_s(SERVICE) == 2.0
-    assert paces.kept() == {SERVICE: KEPT}
+    paces = EngineTimings()
+    paces.restore(SERVICE, KEPT, 0.0)
+    assert paces.usual_prefill_s(SERVICE) == 2.0
+    assert paces.stored_timings() == {SERVICE: KEPT}
     learnt = seen(times=1.0)
     before = needed_s(learnt)
-    learnt.recall(SERVICE, KEPT, 20.0)
+    learnt.restore(SERVICE, KEPT, 20.0)
     assert needed_s(learnt) == before
 
 
@@ -50,11 +50,11 @@
 def test_odd_figures_are_held_within_a_bound(
     prompt_token_s: float, token_s: float, reading_s: float
 ) -> None:
-    kept = KeptPace(prompt_token_s=prompt_token_s, token_s=token_s, reading_s=reading_s)
-    paces = EnginePaces()
-    paces.recall(SERVICE, kept, 0.0)
-    assert 0.1 < paces.usual_reading_s(SERVICE) <= 8.0
-    assert needed_s(paces) < 8.0 * needed_s(EnginePaces()) + 1e-9
+    kept = StoredTimings(prompt_token_s=prompt_token_s, token_s=token_s, reading_s=reading_s)
+    paces = EngineTimings()
+    paces.restore(SERVICE, kept, 0.0)
+    assert 0.1 < paces.usual_prefill_s(SERVICE) <= 8.0
+    assert needed_s(paces) < 8.0 * needed_s(EngineTimings()) + 1e-9
 
 
 def test_after_a_loss_of_all_vms_a_hopeless_return_is_refused_by_what_was_known() -> None:
@@ -75,7 +75,7 @@
         for name in tuple(site.vms):
             await site.wait_ready(await site.start_vm(name))
         book = site.vms["vm-1"].daemon.parts.beliefs.book
-        await until(lambda: book.paces.kept())
+        await until(lambda: book.timings.stored_timings())
         got = await site.stream("p2", vm="vm-1", events=190, prompt_tokens=5000, Deadline_Ms="2500")
         assert got.status == 503
         assert not any(engine.read_tokens["p2"] for engine in site.engines.values())
--- a/lagoonlever/tests/prompt_admission_tests.py
+++ b/lagoonlever/tests/prompt_admission_tests.py
@@ -56,13 +56,13 @@
 
 def test_the_load_counts_the_prompts_of_all_vms_over_the_window() -> None:
     on = book()
-    on.paces = seen(times=2.0)
+    on.timings = seen(times=2.0)
     for number in range(24):
-        on.begin(run(f"r{number}", f"e{number % 6}"), 10.0 + 0.25 * number)
-    load = on.reading_load(SERVICE, engines=6, now=16.0)
+        on.record_dispatch(run(f"r{number}", f"e{number % 6}"), 10.0 + 0.25 * number)
+    load = on.prefill_load(SERVICE, engines=6, now=16.0)
     assert load.prompts == 24
     assert load.share == pytest.approx(24 * 2.0 / (WINDOW_S * 6), rel=0.05)
-    assert on.reading_load(SERVICE, engines=6, now=40.0).prompts == 0
+    assert on.prefill_load(SERVICE, engines=6, now=40.0).prompts == 0
 
 
 def test_runs_announced_to_a_starting_vm_are_not_prefill_load() -> None:
@@ -72,10 +72,10 @@
     that moment they would exceed the bound on slow engines.
     """
     on = book()
-    on.paces = seen(times=2.0)
+    on.timings = seen(times=2.0)
     for number in range(24):
-        on.learn(run(f"r{number}", f"e{number % 6}"), 10.0)
-    assert on.reading_load(SERVICE, engines=6, now=10.1).prompts == 0
+        on.record_reported_run(run(f"r{number}", f"e{number % 6}"), 10.0)
+    assert on.prefill_load(SERVICE, engines=6, now=10.1).prompts == 0
 
 
 def test_engines_that_crashed_within_the_window_still_count() -> None:
@@ -85,12 +85,12 @@
     that moment counted, prompts would be rejected that all engines together can bear.
     """
     on = book()
-    on.paces = seen(times=1.0)
+    on.timings = seen(times=1.0)
     for number in range(24):
-        on.begin(run(f"r{number}", f"e{number % 6}"), 10.0 + 0.25 * number)
-    before = on.reading_load(SERVICE, engines=6, now=16.0)
-    assert on.reading_load(SERVICE, engines=4, now=16.1).share == before.share
-    assert on.reading_load(SERVICE, engines=4, now=16.1 + WINDOW_S).prompts == 0
+        on.record_dispatch(run(f"r{number}", f"e{number % 6}"), 10.0 + 0.25 * number)
+    before = on.prefill_load(SERVICE, engines=6, now=16.0)
+    assert on.prefill_load(SERVICE, engines=4, now=16.1).share == before.share
+    assert on.prefill_load(SERVICE, engines=4, now=16.1 + WINDOW_S).prompts == 0
 
 
 def test_overloaded_engines_reject_new_prompts_and_accept_resumed_streams() -> None:
@@ -105,13 +105,13 @@
         now = site.vms["vm-0"].daemon.parts.timers.now
         for number in range(10):
             for name in site.engines:
-                book.paces.read("engines", name, tokens=PROMPT, seconds=6.0, now=now)
-                book.paces.made("engines", name, token_s=0.012, now=now)
-            book.paces.answered("engines", tokens=1_000, now=now)
-            book.begin(run(f"f{number}", "engine-0"), now)
-            book.begin(run(f"g{number}", "engine-1"), now)
-            book.end(f"f{number}", now, whole=False)
-            book.end(f"g{number}", now, whole=False)
+                book.timings.observe_prefill("engines", name, tokens=PROMPT, seconds=6.0, now=now)
+                book.timings.observe_decode("engines", name, token_s=0.012, now=now)
+            book.timings.observe_answer("engines", tokens=1_000, now=now)
+            book.record_dispatch(run(f"f{number}", "engine-0"), now)
+            book.record_dispatch(run(f"g{number}", "engine-1"), now)
+            book.record_end(f"f{number}", now, whole=False)
+            book.record_end(f"g{number}", now, whole=False)
         refused = await site.stream("p1", events=10)
         assert refused.status == 503
         assert 0.5 < float(refused.headers.get("Retry-After") or 0) < 5.0
@@ -135,13 +135,13 @@
         now = site.vms["vm-0"].daemon.parts.timers.now
         for _ in range(10):
             for name in site.engines:
-                book.paces.read("engines", name, tokens=PROMPT, seconds=0.25, now=now)
-                book.paces.made("engines", name, token_s=0.004, now=now)
-            book.paces.answered("engines", tokens=1_000, now=now)
+                book.timings.observe_prefill("engines", name, tokens=PROMPT, seconds=0.25, now=now)
+                book.timings.observe_decode("engines", name, token_s=0.004, now=now)
+            book.timings.observe_answer("engines", tokens=1_000, now=now)
         for number in range(MIN_PROMPTS + 4):
-            book.begin(run(f"f{number}", "engine-0"), now)
-            book.end(f"f{number}", now, whole=False)
-        load = book.reading_load("engines", engines=len(site.engines), now=now)
+            book.record_dispatch(run(f"f{number}", "engine-0"), now)
+            book.record_end(f"f{number}", now, whole=False)
+        load = book.prefill_load("engines", engines=len(site.engines), now=now)
         assert load.prompts >= MIN_PROMPTS and 0.2 < load.share < 0.3
         got = await site.stream("p1", events=10, Deadline_Ms="4500")
         assert got.status == 200 and got.whole and got.is_events("p1", 1, 10)
