--- a/lagoonlever/commands/barred.py
+++ b/lagoonlever/commands/barred.py
@@ -11,8 +11,8 @@
 
 from lagoonlever.commands.exit_codes import ExitCode
 from lagoonlever.commands.store_reads import read_store
-from lagoonlever.decisions.engines.crash_ends import End
 from lagoonlever.decisions.engines.crash_suspects import CrashSuspects
+from lagoonlever.decisions.engines.target_crashes import Crash
 from lagoonlever.gateway.crash_records import RECORD_KEY
 from lagoonlever.platform.store import MetadataStore
 
@@ -38,23 +38,23 @@
         typer.echo(text)
 
 
-async def _read(store: MetadataStore) -> dict[str, dict[str, End]]:
+async def _read(store: MetadataStore) -> dict[str, dict[str, Crash]]:
     read = await store.get(RECORD_KEY)
     if read.entry is None:
         return {}
-    return msgspec.json.decode(read.entry.value, type=dict[str, dict[str, End]])
+    return msgspec.json.decode(read.entry.value, type=dict[str, dict[str, Crash]])
 
 
-def _rows(ends: dict[str, dict[str, End]], now: float) -> list[str]:
+def _rows(ends: dict[str, dict[str, Crash]], now: float) -> list[str]:
     """Give a line for each request, those whose last end was latest first."""
     known = {fingerprint: processes for fingerprint, processes in ends.items() if processes}
     suspects = CrashSuspects()
-    suspects.learn(known)
+    suspects.record_reported_crashes(known)
     last = {f: max(end.at for end in processes.values()) for f, processes in known.items()}
     rows = []
     for fingerprint in sorted(last, key=lambda f: -last[f]):
-        bar = suspects.bar(fingerprint, now)
-        state = f"refused for {bar.for_s:.0f} s" if bar is not None else "may run"
+        bar = suspects.find_block(fingerprint, now)
+        state = f"refused for {bar.remaining_s:.0f} s" if bar is not None else "may run"
         at = datetime.fromtimestamp(last[fingerprint], UTC).isoformat(timespec="seconds")
         processes = ", ".join(sorted(known[fingerprint]))
         rows.append(
--- a/lagoonlever/entry/targets/probes.py
+++ b/lagoonlever/entry/targets/probes.py
@@ -8,7 +8,7 @@
 import attrs
 import trio
 
-from lagoonlever.decisions.targets.targets import Target, TargetKind, TargetLife, TargetView
+from lagoonlever.decisions.targets.targets import Target, TargetIncarnation, TargetKind, TargetView
 from lagoonlever.entry.targets.targets import TargetSettings, TargetWatch
 from lagoonlever.exceptions import PeerError
 from lagoonlever.http.client import Pool
@@ -54,7 +54,7 @@
     _random: random.Random
     _settings: TargetSettings = attrs.field(factory=TargetSettings)
     _pool: Pool = attrs.field(factory=Pool, init=False)
-    _probed: dict[TargetLife, _Probed] = attrs.field(factory=dict, init=False)
+    _probed: dict[TargetIncarnation, _Probed] = attrs.field(factory=dict, init=False)
 
     @property
     def _view(self) -> Published[TargetView]:
@@ -116,10 +116,10 @@
         return [target for target in self._subset_of(self._view.value) if target.takes_work]
 
     def _of(self, target: Target) -> _Probed:
-        return self._probed.setdefault(target.life, _Probed())
+        return self._probed.setdefault(target.incarnation, _Probed())
 
     def _forget_old_lives(self) -> None:
-        lives = {target.life for target in self._view.value.targets}
+        lives = {target.incarnation for target in self._view.value.targets}
         for life in self._probed.keys() - lives:
             del self._probed[life]
 
--- a/lagoonlever/entry/targets/targets.py
+++ b/lagoonlever/entry/targets/targets.py
@@ -15,7 +15,7 @@
 
 from lagoonlever.config.options import option
 from lagoonlever.decisions.membership.membership import MemberView
-from lagoonlever.decisions.targets.freshness import Belief
+from lagoonlever.decisions.targets.freshness import ListStatus
 from lagoonlever.decisions.targets.listing import TargetListReading
 from lagoonlever.decisions.targets.load import LOAD_STALE_S, TargetReports
 from lagoonlever.decisions.targets.targets import (
@@ -76,9 +76,9 @@
     "The end of event 702 or 703.",
 )
 _BELIEF_EVENTS = {
-    Belief.ISOLATED: TARGETS_ISOLATED,
-    Belief.PLATFORM_OUTAGE: TARGETS_LIST_OUTAGE,
-    Belief.FRESH: TARGETS_LIST_FRESH,
+    ListStatus.ISOLATED: TARGETS_ISOLATED,
+    ListStatus.PLATFORM_OUTAGE: TARGETS_LIST_OUTAGE,
+    ListStatus.FRESH: TARGETS_LIST_FRESH,
 }
 _STATE_EVENTS = {TargetState.LEAVING: TARGET_LEAVING, TargetState.GONE: TARGET_GONE}
 
@@ -121,7 +121,7 @@
     _settings: TargetSettings = attrs.field(factory=TargetSettings)
     _knowledge: TargetKnowledge = attrs.field(init=False)
     _reports: TargetReports = attrs.field(init=False)
-    _belief: Belief = attrs.field(default=Belief.FRESH, init=False)
+    _belief: ListStatus = attrs.field(default=ListStatus.FRESH, init=False)
     _states: dict[str, TargetState] = attrs.field(factory=dict, init=False)
     view: Published[TargetView] = attrs.field(init=False)
     """The latest view; while this VM is isolated every live target in it is ``UNSURE``."""
@@ -134,9 +134,9 @@
         self.view = Published(TargetView())
 
     @property
-    def belief(self) -> Belief:
+    def belief(self) -> ListStatus:
         """Whether the list of targets may be believed now."""
-        return self._knowledge.belief(self._timers.now)
+        return self._knowledge.list_status(self._timers.now)
 
     def check_before_dispatch(self, target: Target) -> bool:
         """Tell whether work may be written to a target now; ask right before each write.
@@ -155,21 +155,21 @@
 
     def models_read(self, target: Target, models: tuple[ModelKey, ...]) -> None:
         """Take the models that an engine serves."""
-        self._reports.models_read(target, models)
+        self._reports.record_models(target, models)
         self._publish()
 
     def load_read(self, target: Target, load: TargetLoad) -> None:
         """Take a load report."""
-        self._reports.load_read(target, load)
+        self._reports.record_load(target, load)
         self._publish()
 
     def connected(self, target: Target) -> None:
         """Note that a target answered."""
-        self._reports.connected(target)
+        self._reports.record_connect(target)
 
     def connect_failed(self, target: Target) -> None:
         """Note that a target was not reached or stayed silent: others are preferred."""
-        self._reports.connect_failed(target, self._timers.now)
+        self._reports.record_connect_failure(target, self._timers.now)
         self._publish()
 
     async def run(self) -> None:
@@ -191,7 +191,7 @@
         reading = self._readings.value
         while True:
             if reading is not None:
-                self._send(self._knowledge.read(reading))
+                self._send(self._knowledge.on_list_read(reading))
                 self._publish()
             reading = await self._readings.wait_change()
 
@@ -203,15 +203,15 @@
 
     async def _hear_news(self) -> None:
         async for received in self._bus.subscribe(TargetLeavingNews):
-            self._take(self._knowledge.heard(received.message, self._timers.now))
+            self._take(self._knowledge.on_leaving_update(received.message, self._timers.now))
 
     async def _answer_asks(self) -> None:
         async for received in self._bus.subscribe(TargetListAsk):
-            self._send(self._knowledge.asked(received.message, self._timers.now))
+            self._send(self._knowledge.on_list_query(received.message, self._timers.now))
 
     async def _hear_answers(self) -> None:
         async for received in self._bus.subscribe(TargetListAnswer):
-            self._take(self._knowledge.answered(received.message, self._timers.now))
+            self._take(self._knowledge.on_list_answer(received.message, self._timers.now))
 
     def _take(self, sends: list[Send]) -> None:
         """Send news on; that there is any means that the view changed."""
@@ -227,7 +227,7 @@
         self._send(self._knowledge.tick(tick.now))
 
     def _reconsider(self, tick: Tick) -> None:
-        belief = self._knowledge.belief(tick.now)
+        belief = self._knowledge.list_status(tick.now)
         age_s = self._knowledge.list_age_s(tick.now)
         if belief is self._belief or age_s is None:
             return
@@ -238,12 +238,12 @@
     def _publish(self) -> None:
         now = self._timers.now
         targets = tuple(
-            self._reports.described(target, now) for target in self._knowledge.targets(now)
+            self._reports.describe(target, now) for target in self._knowledge.targets(now)
         )
         if targets == self.view.value.targets:
             return
         self._log_changes(targets)
-        self._reports.keep_only(targets)
+        self._reports.retain(targets)
         self.view.publish(TargetView(targets=targets))
 
     def _log_changes(self, targets: tuple[Target, ...]) -> None:
--- a/lagoonlever/gateway/crash_news.py
+++ b/lagoonlever/gateway/crash_news.py
@@ -40,10 +40,10 @@
         async for received in self._bus.subscribe(TargetsEnded):
             message = received.message
             ends = read_ends(message, self._timers.now)
-            is_news = self._suspects.learn(ends)
+            is_news = self._suspects.record_reported_crashes(ends)
             self._learnt()
             # Others count what this VM knows to be cleared: the news was late here only.
-            for fingerprint in self._suspects.cleared_here(ends):
+            for fingerprint in self._suspects.find_cleared_here(ends):
                 self.tell(RequestServed(fingerprint=fingerprint))
             if is_news:
                 self._pass_on(message, source=received.sender.name)
@@ -55,7 +55,7 @@
             # Whoever has written the record takes it out there: the VM that served it may never
             # have seen the record.
             self._served(message.fingerprint)
-            if self._suspects.served(message.fingerprint, self._timers.now, is_own=False):
+            if self._suspects.record_answer(message.fingerprint, self._timers.now, is_own=False):
                 self._pass_on(message, source=received.sender.name)
 
     def tell(self, message: CrashMessage) -> None:
@@ -67,7 +67,7 @@
 
         It was not there to hear of the ends when they were told.
         """
-        told = self._kept_ends(self._suspects.ends)
+        told = self._kept_ends(self._suspects.crashes)
         if told.ends:
             self._bus.send(newcomer, told)
 
@@ -98,7 +98,7 @@
                     age_s=now - end.at,
                     weight=end.weight,
                 )
-                for fingerprint, processes in self._suspects.kept().items()
+                for fingerprint, processes in self._suspects.crashes_to_store().items()
                 for process, end in processes.items()
                 if fingerprint in fingerprints
             )
--- a/lagoonlever/gateway/crash_records.py
+++ b/lagoonlever/gateway/crash_records.py
@@ -15,8 +15,8 @@
 import msgspec
 import trio
 
-from lagoonlever.decisions.engines.crash_ends import End, Ends
 from lagoonlever.decisions.engines.crash_suspects import CrashSuspects
+from lagoonlever.decisions.engines.target_crashes import Crash, CrashesByRequest
 from lagoonlever.exceptions import PlatformError
 from lagoonlever.gateway import events
 from lagoonlever.revisions import Revision
@@ -150,18 +150,18 @@
     def _known(self) -> dict[str, frozenset[str]]:
         return {
             fingerprint: frozenset(processes)
-            for fingerprint, processes in self._suspects.kept().items()
+            for fingerprint, processes in self._suspects.crashes_to_store().items()
             if fingerprint not in self._served
         }
 
-    def _document(self, *, without: frozenset[str]) -> Ends:
+    def _document(self, *, without: frozenset[str]) -> CrashesByRequest:
         to_unix = self._unix_now() - self._now()
         return {
             fingerprint: {
-                process: End(at=round(end.at + to_unix, 3), weight=end.weight)
+                process: Crash(at=round(end.at + to_unix, 3), weight=end.weight)
                 for process, end in processes.items()
             }
-            for fingerprint, processes in self._suspects.kept().items()
+            for fingerprint, processes in self._suspects.crashes_to_store().items()
             if fingerprint not in without
         }
 
@@ -171,7 +171,7 @@
         if self._record.value is None:
             return
         try:
-            stored = msgspec.json.decode(self._record.value, type=dict[str, dict[str, End]])
+            stored = msgspec.json.decode(self._record.value, type=dict[str, dict[str, Crash]])
         except (msgspec.MsgspecError, RecursionError) as error:
             events.CRASHES_UNREADABLE.log(log, error=str(error))
             return
@@ -179,12 +179,12 @@
         now, to_monotonic = self._now(), self._now() - self._unix_now()
         ends = {
             fingerprint: {
-                process: End.told(at=min(now, end.at + to_monotonic), weight=end.weight)
+                process: Crash.from_report(at=min(now, end.at + to_monotonic), weight=end.weight)
                 for process, end in processes.items()
             }
             for fingerprint, processes in stored.items()
             if processes and fingerprint not in self._served
         }
-        self._served |= self._suspects.cleared(ends)
-        self._suspects.learn(ends)
+        self._served |= self._suspects.find_cleared(ends)
+        self._suspects.record_reported_crashes(ends)
         self._learnt()
--- a/lagoonlever/gateway/replacement_finder.py
+++ b/lagoonlever/gateway/replacement_finder.py
@@ -10,7 +10,7 @@
 
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS, gives
 from lagoonlever.decisions.targets.listed_target import ListedTarget
-from lagoonlever.decisions.targets.replacements import ASK_AFTER_S, same_service
+from lagoonlever.decisions.targets.replacements import PROBE_DELAYS_S, is_same_service
 from lagoonlever.exceptions import PeerError
 from lagoonlever.gateway import events
 from lagoonlever.gateway.beliefs import Beliefs
@@ -74,9 +74,9 @@
 
     async def _look(self, target: ListedTarget, alive_at: float) -> None:
         try:
-            for after_s in ASK_AFTER_S:
+            for after_s in PROBE_DELAYS_S:
                 await trio.sleep(max(0.0, alive_at + after_s - self._timers.elapsed))
-                if self._beliefs.targets.place_is_taken(target.id):
+                if self._beliefs.targets.is_address_taken(target.id):
                     return
                 answering = await self._ask_id(target)
                 if answering is not None:
@@ -89,9 +89,9 @@
         """Put another process in a lost target's place, if it can only be of its service."""
         if answering == target_id:
             # It is back under its id: nothing of before counts against it.
-            self._beliefs.book.avoidance.served(target_id)
+            self._beliefs.book.avoidance.record_success(target_id)
             return
-        proved = same_service(
+        proved = is_same_service(
             alive_at=alive_at, answered_at=self._timers.elapsed, reuse_s=self._reuse_s()
         )
         if not proved:
--- a/lagoonlever/gateway/room_desk.py
+++ b/lagoonlever/gateway/room_desk.py
@@ -155,8 +155,8 @@
     def _waiting(self, place: QueuedPromptId, asked: LineAsk, now: float) -> QueuedPrompt:
         """Translate a question's durations into times of this VM's clock."""
         need, ask = asked.need, asked.ask
-        reading_s = self._beliefs.book.paces.reading_s(ask.service, "", ask.prompt_tokens, now)
-        making_s = self._beliefs.book.paces.usual_making_s(ask.service) or 0.0
+        reading_s = self._beliefs.book.timings.prefill_s(ask.service, "", ask.prompt_tokens, now)
+        making_s = self._beliefs.book.timings.usual_decode_s(ask.service) or 0.0
         room = CapacityRequest(
             request_id=ask.request,
             service=ask.service,
@@ -186,7 +186,9 @@
         passed_by = 0
         for waiting in line.order(now, max_per_s=ready_rate(service, view, now)):
             asked = self._open[waiting.prompt_id].asked
-            if self._beliefs.book.begun_after(waiting.request.request_id, waiting.enqueued_at):
+            if self._beliefs.book.is_dispatched_after(
+                waiting.request.request_id, waiting.enqueued_at
+            ):
                 self.left(waiting.prompt_id, service)
                 continue
             outcome = self._decide(asked.ask, line)
@@ -218,7 +220,7 @@
             self._log_begun(waiting, line, outcome)
         else:
             line.remove(place)
-        pace = self._beliefs.book.paces.kept().get(ask.service)
+        pace = self._beliefs.book.timings.stored_timings().get(ask.service)
         decided = PlacementTold.of(place.number, outcome, pace)
         self._answer(place, question, LineTold(number=place.number, decided=decided))
 
--- a/lagoonlever/gateway/target_limits.py
+++ b/lagoonlever/gateway/target_limits.py
@@ -17,12 +17,12 @@
 from lagoonlever.decisions.admission.limits import retry_after_s
 from lagoonlever.decisions.targets.limit_permits import (
     Denied,
+    DeniedTargets,
     Granted,
-    HeldTargets,
     PermitOutcome,
 )
 from lagoonlever.decisions.targets.listed_target import ListedTarget
-from lagoonlever.decisions.targets.named_limits import LimitWord, NamedLimits
+from lagoonlever.decisions.targets.named_limits import LimitReport, ReportedLimits
 from lagoonlever.gateway import events, metrics
 from lagoonlever.gateway.beliefs import Beliefs
 from lagoonlever.gateway.hub_spread import HubSpread
@@ -64,10 +64,10 @@
     _timers: TimerService
     _tally: Tally
     _rng: random.Random
-    _named: NamedLimits
+    _named: ReportedLimits
     _permits: PermitExchange
     _spread: HubSpread
-    _held: HeldTargets = attrs.field(factory=HeldTargets)
+    _held: DeniedTargets = attrs.field(factory=DeniedTargets)
     _sends: dict[str, _Sends] = attrs.field(factory=dict)
     _spread_at: dict[str, float] = attrs.field(factory=dict)
     _refusals: deque[float] = attrs.field(factory=deque)
@@ -84,16 +84,16 @@
         """Take what the head of a target's answer says of its limit."""
         if not head.tells_limit:
             return
-        former, now = self._named.of(target), self._timers.now
-        word = LimitWord.of_answer(head.limit_per_s, sent_at=sent_at, now=now)
-        if not self._named.learn(target, word):
+        former, now = self._named.current(target), self._timers.now
+        word = LimitReport.from_answer(head.limit_per_s, sent_at=sent_at, now=now)
+        if not self._named.update(target, word):
             return
         self._changed(target, former, source="its own answer")
         self._tell(target, word, is_limited_as_before=former is not None and word.per_s is not None)
 
     def limit_of(self, target: str) -> float | None:
         """Give the requests a second that a target takes now; None where it names no limit."""
-        word = self._named.of(target)
+        word = self._named.current(target)
         return word.per_s if word is not None else None
 
     def counter(self, target: str) -> str | None:
@@ -103,38 +103,38 @@
     def open(self, targets: Iterable[ListedTarget], *, need: float) -> tuple[ListedTarget, ...]:
         """Give the targets that work of a need was not denied at just now."""
         now = self._timers.now
-        return tuple(t for t in targets if not self._held.is_held(t.id, need=need, now=now))
+        return tuple(t for t in targets if not self._held.is_denied(t.id, need=need, now=now))
 
     def held(self, targets: Iterable[ListedTarget], *, need: float) -> frozenset[str]:
         """Give the targets that work of a need is to go past for now."""
         now = self._timers.now
-        return frozenset(t.id for t in targets if self._held.is_held(t.id, need=need, now=now))
+        return frozenset(t.id for t in targets if self._held.is_denied(t.id, need=need, now=now))
 
     def unlimited(self, targets: Iterable[ListedTarget]) -> tuple[ListedTarget, ...]:
         """Give the targets that name no limit."""
-        return tuple(t for t in targets if self._named.of(t.id) is None)
+        return tuple(t for t in targets if self._named.current(t.id) is None)
 
     async def permit(self, target: str, *, need: float) -> PermitOutcome:
         """Take a permit to send one request to a target, if it names a limit."""
-        word, now = self._named.of(target), self._timers.now
+        word, now = self._named.current(target), self._timers.now
         if word is None:
             return Granted(counted=False)
-        if self._held.is_held(target, need=need, now=now):
+        if self._held.is_denied(target, need=need, now=now):
             return Denied(wait_s=0.0)
         outcome = await self._permits.ask(target, word, need=need)
         if isinstance(outcome, Denied):
             self._tally.add(metrics.LIMITED_SENDS, "held")
             wait_s = outcome.wait_s * self._rng.uniform(1.0, 1.0 + HOLD_SPREAD)
-            self._held.hold(target, need=need, until=self._timers.now + wait_s)
+            self._held.record_denial(target, need=need, until=self._timers.now + wait_s)
         return outcome
 
     def covers(self, target: str, permit: Granted) -> bool:
         """Tell whether a permit still does, as the target may have named its limit since."""
-        return permit.counted or self._named.of(target) is None
+        return permit.counted or self._named.current(target) is None
 
     def sent(self, target: str, *, first: bool) -> None:
         """Count a request that is written to a target, if the target names a limit."""
-        word = self._named.of(target)
+        word = self._named.current(target)
         if word is None:
             return
         self._tally.add(metrics.LIMITED_SENDS, "first" if first else "later")
@@ -164,7 +164,7 @@
         back as the next permit is free would be refused again.
         """
         able = self._beliefs.targets.serving(service)
-        words = [word for word in (self._named.of(target.id) for target in able) if word]
+        words = [word for word in (self._named.current(target.id) for target in able) if word]
         if not words:
             return None
         now = self._timers.now
@@ -187,8 +187,8 @@
         if words:
             self._bus.send(newcomer, LimitsTold(words=tuple(words)))
 
-    def _changed(self, target: str, former: LimitWord | None, *, source: str) -> None:
-        word = self._named.of(target)
+    def _changed(self, target: str, former: LimitReport | None, *, source: str) -> None:
+        word = self._named.current(target)
         if word is None:
             self._held.forget(target)
             self._permits.forget(target)
@@ -198,7 +198,7 @@
             log, target=target, limit=_told(word), former=_told(former), source=source
         )
 
-    def _tell(self, target: str, word: LimitWord, *, is_limited_as_before: bool) -> None:
+    def _tell(self, target: str, word: LimitReport, *, is_limited_as_before: bool) -> None:
         """Tell all VMs of a limit that begins or ends; of another value, who counts."""
         message = LimitsTold(words=(self._permits.told(target, word),))
         now = self._timers.now
@@ -221,7 +221,7 @@
         """Take words of another VM; gives whether one was news."""
         is_news = False
         for told in message.words:
-            former = self._named.of(told.target)
+            former = self._named.current(told.target)
             if self._permits.learn(told):
                 is_news = True
                 self._changed(told.target, former, source=source)
@@ -238,5 +238,5 @@
                 del kept[target]
 
 
-def _told(word: LimitWord | None) -> str:
+def _told(word: LimitReport | None) -> str:
     return "none" if word is None or word.per_s is None else f"{word.per_s:g}/s"
--- a/lagoonlever/tests/call_places_tests.py
+++ b/lagoonlever/tests/call_places_tests.py
@@ -14,9 +14,13 @@
 from lagoonlever.decisions.admission.capacity import RejectedWithRetryAfter
 from lagoonlever.decisions.settings.configuration import RouteKind, ServiceRoute
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS
-from lagoonlever.decisions.targets.call_desks import RUNNERS_A_DESK, desks_of, groups_of
+from lagoonlever.decisions.targets.call_coordinators import (
+    RUNNERS_PER_COORDINATOR,
+    ranked_coordinators,
+    runner_groups,
+)
 from lagoonlever.decisions.targets.listed_target import ListedTarget
-from lagoonlever.decisions.targets.told_load import LoadWord, ToldLoad
+from lagoonlever.decisions.targets.reported_load import LoadReport, ReportedLoad
 from lagoonlever.gateway.accepted import Accepted
 from lagoonlever.gateway.call_desk import CallDesk, Reply
 from lagoonlever.gateway.call_places import ANSWER_S, CallPlace, CallPlaces, PlaceOutcome
@@ -74,11 +78,11 @@
         return await self.places.take(self.accepted())
 
     def answered(self, place: CallPlace, *, running: float = 0.0) -> None:
-        load = ToldLoad(running=running, waiting=0, slots=SLOTS, slowness=1.0)
+        load = ReportedLoad(running=running, waiting=0, slots=SLOTS, slowness=1.0)
         self.places.ended(place, answer(load), seconds=WORK_S)
 
 
-def answer(load: ToldLoad) -> Answered:
+def answer(load: ReportedLoad) -> Answered:
     head = AnswerHead(
         status=200,
         request_id="r",
@@ -102,7 +106,7 @@
         )
         for number, name in enumerate(RUNNERS)
     ]
-    vm.beliefs.targets.read(listed, revision=Revision(number=1), now=0.0, store_back_at=None)
+    vm.beliefs.targets.apply_list(listed, revision=Revision(number=1), now=0.0, store_back_at=None)
     tally = Tally()
     desk = CallDesk(
         bus=vm.bus, beliefs=vm.beliefs, timers=vm.timers, tally=tally, rests=lambda _name: False
@@ -137,7 +141,7 @@
 
 
 def order(vms: dict[str, CallingVm]) -> list[str]:
-    return desks_of(SERVICE, 0, vms)
+    return ranked_coordinators(SERVICE, 0, vms)
 
 
 def others(vms: dict[str, CallingVm]) -> list[str]:
@@ -339,9 +343,11 @@
         (vm,) = fleet.vms.values()
         made = calling(fleet, vm)
         for slowness, expected in ((None, False), (1.0, True)):
-            load = ToldLoad(running=0, waiting=0, slots=2, slowness=slowness)
+            load = ReportedLoad(running=0, waiting=0, slots=2, slowness=slowness)
             await trio.sleep(0.1)
-            vm.beliefs.loads.told(LoadWord(target="r-0", load=load, at=trio.current_time()))
+            vm.beliefs.loads.record_report(
+                LoadReport(target="r-0", load=load, at=trio.current_time())
+            )
             assert made.places.serves(SERVICE) is expected
 
     run_fleet(story)
@@ -356,8 +362,8 @@
         start_many(fleet, 1)
         (vm,) = fleet.vms.values()
         made = calling(fleet, vm)
-        load = ToldLoad(running=0, waiting=0, slots=2, slowness=1.0)
-        vm.beliefs.loads.told(LoadWord(target="r-0", load=load, at=trio.current_time()))
+        load = ReportedLoad(running=0, waiting=0, slots=2, slowness=1.0)
+        vm.beliefs.loads.record_report(LoadReport(target="r-0", load=load, at=trio.current_time()))
         assert not made.places.serves(SERVICE)
 
     run_fleet(story)
@@ -365,8 +371,11 @@
 
 def test_a_large_service_is_split_among_desks_evenly() -> None:
     runners = [f"r-{number}" for number in range(40)]
-    groups = groups_of(SERVICE, runners)
+    groups = runner_groups(SERVICE, runners)
     assert sorted(name for group in groups for name in group) == sorted(runners)
-    assert all(len(group) <= RUNNERS_A_DESK for group in groups)
-    firsts = {desks_of(SERVICE, number, map(str, range(300)))[0] for number in range(len(groups))}
+    assert all(len(group) <= RUNNERS_PER_COORDINATOR for group in groups)
+    firsts = {
+        ranked_coordinators(SERVICE, number, map(str, range(300)))[0]
+        for number in range(len(groups))
+    }
     assert len(firsts) > len(groups) / 2
--- a/lagoonlever/tests/load_words_tests.py
+++ b/lagoonlever/tests/load_words_tests.py
@@ -6,8 +6,8 @@
 import trio
 
 from lagoonlever.decisions.targets.load_estimate import LoadEstimate, LoadSource
-from lagoonlever.decisions.targets.load_view import MOMENT_S
-from lagoonlever.decisions.targets.told_load import LoadWord, ToldLoad
+from lagoonlever.decisions.targets.load_view import SLOWDOWN_DURATION_S
+from lagoonlever.decisions.targets.reported_load import LoadReport, ReportedLoad
 from lagoonlever.fakes.platform_runner import Conduct
 from lagoonlever.gateway.beliefs import Beliefs
 from lagoonlever.peers.messages import PEER
@@ -32,7 +32,7 @@
         assert (known.slots, known.source) == (6, LoadSource.ANSWER)
         assert known.running + known.waiting == 4, "the request that was answered is over"
         assert known.slowness > 1.0
-        assert beliefs_of(site).loads.tells_slowness("runner-0")
+        assert beliefs_of(site).loads.reports_slowness("runner-0")
 
     run_site(story, engines=0, runners=1, vms=1)
 
@@ -59,7 +59,7 @@
             await until_within(5.0, lambda: loads.open_requests("engine-0") == 1)
         assert loads.open_requests("engine-0") == 0
         assert estimate(site, "engine-0").running == 0
-        assert loads.tells_slowness("engine-0")
+        assert loads.reports_slowness("engine-0")
 
     run_site(story, engines=1, runners=0, vms=1)
 
@@ -68,7 +68,7 @@
     async def story(site: GatewaySite) -> None:
         site.runners["runner-0"].says.load = "3,2,6"
         assert (await site.call("/bid/1")).status == 200
-        assert not beliefs_of(site).loads.tells_slowness("runner-0")
+        assert not beliefs_of(site).loads.reports_slowness("runner-0")
         assert estimate(site, "runner-0").slowness == 1.0
 
     run_site(story, engines=0, runners=1, vms=1)
@@ -79,10 +79,10 @@
         site.engines["engine-0"].says.load = "9,9,16,250"
         assert (await site.stream("p")).whole
         loads = beliefs_of(site).loads
-        assert loads.word("engine-0") is not None
+        assert loads.latest_report("engine-0") is not None
         site.crash("engine-0")
         await site.start_engine("engine-0")
-        await until_within(3.0, lambda: loads.word("engine-0") is None)
+        await until_within(3.0, lambda: loads.latest_report("engine-0") is None)
 
     run_site(story, engines=1, runners=0, vms=1)
 
@@ -93,18 +93,18 @@
         site.engines["engine-0"].says.load = "4,1,16,250"
         assert (await site.stream("p")).whole
         views = [beliefs_of(site, vm).loads for vm in site.vms]
-        await until_within(2.0, lambda: all(view.word("engine-0") for view in views))
+        await until_within(2.0, lambda: all(view.latest_report("engine-0") for view in views))
         sources = {estimate(site, "engine-0", vm).source for vm in site.vms}
         assert sources == {LoadSource.ANSWER, LoadSource.NEWS}
-        assert all(view.tells_slowness("engine-0") for view in views)
+        assert all(view.reports_slowness("engine-0") for view in views)
 
     run_site(story, engines=1, runners=0, vms=2)
 
 
 def test_news_of_a_load_costs_no_message_and_few_bytes() -> None:
     """Guards against news that eat up what VMs may tell each other: 3 kB a second."""
-    load = ToldLoad(running=4.0, waiting=1.0, slots=16.0, slowness=2.5)
-    word = LoadWord(target="e", load=load, at=1.0)
+    load = ReportedLoad(running=4.0, waiting=1.0, slots=16.0, slowness=2.5)
+    word = LoadReport(target="e", load=load, at=1.0)
     plain = RunFlows(request="r")
     full = RunFlows(request="r", load=EngineWord.of(word, 1.2))
     assert len(PEER.encode(full)) - len(PEER.encode(plain)) <= 16
@@ -112,8 +112,11 @@
 
 
 def test_only_fresh_words_that_tell_slowness_are_passed_on() -> None:
-    silent = ToldLoad(running=4.0, waiting=1.0, slots=16.0)
+    silent = ReportedLoad(running=4.0, waiting=1.0, slots=16.0)
     told = attrs.evolve(silent, slowness=2.5)
-    assert EngineWord.of(LoadWord(target="e", load=silent, at=1.0), 1.0) is None
-    assert EngineWord.of(LoadWord(target="e", load=told, at=1.0), 1.0 + 2 * MOMENT_S) is None
+    assert EngineWord.of(LoadReport(target="e", load=silent, at=1.0), 1.0) is None
+    assert (
+        EngineWord.of(LoadReport(target="e", load=told, at=1.0), 1.0 + 2 * SLOWDOWN_DURATION_S)
+        is None
+    )
     assert EngineWord.of(None, 1.0) is None
--- a/lagoonlever/tests/run_placement_tests.py
+++ b/lagoonlever/tests/run_placement_tests.py
@@ -8,7 +8,7 @@
 
 from lagoonlever.decisions.admission.prompt_admission import MIN_PROMPTS
 from lagoonlever.decisions.admission.retry_window import RetryWindow
-from lagoonlever.decisions.engines.engine_book import EngineBook
+from lagoonlever.decisions.engines.engine_scheduler import EngineScheduler
 from lagoonlever.decisions.settings.configuration import EngineLimits
 from lagoonlever.decisions.streams.booked_runs import BookedRun
 from lagoonlever.decisions.streams.run_placement import (
@@ -44,9 +44,9 @@
 def view(*listed: ListedTarget) -> PlacementView:
     targets = TargetRegistry()
     listed = listed or (engine("e1", "a"), engine("e2", "b"), engine("e3", "c"))
-    targets.read(listed, revision=at(1), now=0.0, store_back_at=None)
+    targets.apply_list(listed, revision=at(1), now=0.0, store_back_at=None)
     return PlacementView(
-        book=EngineBook(rng=random.Random(1), data_center="a"),
+        book=EngineScheduler(rng=random.Random(1), data_center="a"),
         window=RetryWindow(ratio=0.8, window_s=10.0, slack=5.0),
         targets=targets,
         limits=LIMITS,
@@ -81,7 +81,9 @@
         run = reserved_run(attrs.evolve(ASK, request=f"r-{name}"), Placed(engine=name), vm="vm-1")
         seen.book.reserve(run, 0.0)
     for name in ("e2", "e3"):
-        seen.book.begin(booked(attrs.evolve(ASK, request=f"s-{name}"), Placed(engine=name)), 0.1)
+        seen.book.record_dispatch(
+            booked(attrs.evolve(ASK, request=f"s-{name}"), Placed(engine=name)), 0.1
+        )
     seen.book.expire(RESERVED_S + 0.1)
     outcome = place_run(ASK, seen, RESERVED_S + 0.1)
     assert isinstance(outcome, Placed) and outcome.engine == "e1"
@@ -95,23 +97,23 @@
     book = view().book
     placed = Placed(engine="e1")
     book.reserve(reserved_run(ASK, placed, vm="vm-1"), 0.0)
-    assert not book.knows("r1")
+    assert not book.is_dispatched("r1")
     assert book.open_runs == ()
-    assert book.last_run_of("p1") is None
-    book.begin(booked(ASK, placed), 0.01)
-    assert book.knows("r1")
+    assert book.find_unfinished_run("p1") is None
+    book.record_dispatch(booked(ASK, placed), 0.01)
+    assert book.is_dispatched("r1")
     book.reserve(reserved_run(ASK, Placed(engine="e2"), vm="vm-1"), 0.5)
-    assert book.knows("r1")
+    assert book.is_dispatched("r1")
 
 
 def test_a_run_is_not_beside_the_place_that_was_kept_for_it() -> None:
     """A reading beside another prompt tells no pace; its own kept place is no other prompt."""
     book = view().book
-    before = book.paces.reading_s("engines", "e1", 5_000, 1.0)
+    before = book.timings.prefill_s("engines", "e1", 5_000, 1.0)
     book.reserve(reserved_run(ASK, Placed(engine="e1"), vm="vm-1"), 0.0)
-    book.begin(booked(ASK, Placed(engine="e1")), 0.0)
-    book.flows("r1", 3.0)
-    assert book.paces.reading_s("engines", "e1", 5_000, 3.0) > before
+    book.record_dispatch(booked(ASK, Placed(engine="e1")), 0.0)
+    book.record_first_event("r1", 3.0)
+    assert book.timings.prefill_s("engines", "e1", 5_000, 3.0) > before
 
 
 def test_a_repeat_beyond_the_budget_waits() -> None:
@@ -136,7 +138,7 @@
     few = attrs.evolve(LIMITS, memory_tokens=6_500)
     alike = attrs.evolve(view(), limits=few)
     for gone in ("e8", "e9"):
-        alike.book.avoidance.failed(gone, 0.0)
+        alike.book.avoidance.record_failure(gone, 0.0)
     ask = attrs.evolve(ASK, settled="e1", attempt=False)
     outcome = place_run(ask, alike, 0.0)
     assert isinstance(outcome, Placed) and outcome.copy_to is None
@@ -154,7 +156,7 @@
 
 def test_a_copy_whose_holder_was_lost_is_not_gone_on_from() -> None:
     seen = view()
-    seen.book.avoidance.failed("e2", 0.0)
+    seen.book.avoidance.record_failure("e2", 0.0)
     assert place_run(attrs.evolve(ASK, settled="e2", repeat=True), seen, 0.1) == NoEngine()
 
 
@@ -169,9 +171,9 @@
     book = seen.book
     for number in range(4 * MIN_PROMPTS):
         ask = attrs.evolve(ASK, request=f"r-{number}", part=None)
-        book.begin(booked(ask, Placed(engine="e1")), 0.1 * number)
-        book.flows(ask.request, 0.1 * number + 1.0)
-        book.end(ask.request, 0.1 * number + 2.0, whole=True, token_s=0.004, tokens=1_000)
+        book.record_dispatch(booked(ask, Placed(engine="e1")), 0.1 * number)
+        book.record_first_event(ask.request, 0.1 * number + 1.0)
+        book.record_end(ask.request, 0.1 * number + 2.0, whole=True, token_s=0.004, tokens=1_000)
     now = 0.1 * 4 * MIN_PROMPTS
     assert isinstance(place_run(attrs.evolve(ASK, allowed_s=25.0), seen, now), Overloaded)
     assert isinstance(place_run(ASK, seen, now), Placed)
