--- a/lagoonlever/bench/stream_day_model.py
+++ b/lagoonlever/bench/stream_day_model.py
@@ -24,8 +24,12 @@
     DayPolicy,
     ModelStream,
 )
-from lagoonlever.decisions.admission.prompt_admission import admits, come_back_s, most_share
-from lagoonlever.decisions.engines.engine_book import EngineBook
+from lagoonlever.decisions.admission.prompt_admission import (
+    admits_prompt,
+    max_prefill_share,
+    random_retry_after_s,
+)
+from lagoonlever.decisions.engines.engine_scheduler import EngineScheduler
 from lagoonlever.decisions.settings.configuration import EngineLimits
 from lagoonlever.decisions.streams.engine_runs import EngineRun, RunCopy
 from lagoonlever.decisions.streams.stream_lifecycle import (
@@ -59,7 +63,7 @@
     _policy: DayPolicy
     _seed: int
     _rng: random.Random = attrs.field(init=False)
-    _book: EngineBook = attrs.field(init=False)
+    _book: EngineScheduler = attrs.field(init=False)
     _limits: EngineLimits = attrs.field(init=False)
     _engines: dict[str, ModelEngine] = attrs.field(factory=dict)
     _listed: dict[str, ListedTarget] = attrs.field(factory=dict)
@@ -75,11 +79,11 @@
         return random.Random(self._seed)
 
     @_book.default
-    def _make_book(self) -> EngineBook:
-        return EngineBook(
+    def _make_book(self) -> EngineScheduler:
+        return EngineScheduler(
             rng=random.Random(self._seed + 1),
             data_center=DATA_CENTERS[0],
-            copies_most=self._policy.copies_most,
+            max_copies_share=self._policy.copies_most,
         )
 
     @_limits.default
@@ -177,7 +181,7 @@
         self._hold_copy(stream, stream.run)
 
     def _unlist(self, name: str, now: float) -> None:
-        self._book.avoidance.failed(name, now)
+        self._book.avoidance.record_failure(name, now)
         self._listed.pop(name, None)
 
     def _lose(self, stream: ModelStream, attempt: int, now: float) -> None:
@@ -213,25 +217,25 @@
         """Refuse a new prompt that engines can't bear; its caller may come back later."""
         if stream.life.sent or stream.life.position or not self._policy.admission:
             return False
-        making_s = self._book.paces.usual_making_s(SERVICE)
+        making_s = self._book.timings.usual_decode_s(SERVICE)
         if making_s is None:
             return False
-        most = most_share(
-            making_s=making_s,
-            reading_s=self._book.paces.usual_reading_s(SERVICE),
+        most = max_prefill_share(
+            decode_s=making_s,
+            prefill_s=self._book.timings.usual_prefill_s(SERVICE),
             allowed_s=self._plan.deadline_s,
-            slowdown=self._book.paces.slowdown(SERVICE),
+            slowdown=self._book.timings.slowdown(SERVICE),
         )
-        load = self._book.reading_load(SERVICE, engines=len(self._listed), now=now)
-        if admits(load, most=most):
+        load = self._book.prefill_load(SERVICE, engines=len(self._listed), now=now)
+        if admits_prompt(load, max_share=most):
             return False
         stream.refused += 1
         if stream.refused <= self._plan.caller_returns:
-            self._at(now + come_back_s(self._rng), partial(self._ask, stream))
+            self._at(now + random_retry_after_s(self._rng), partial(self._ask, stream))
         return True
 
     def _place(self, stream: ModelStream, step: PlaceAttempt, now: float) -> None:
-        placement = self._book.place(
+        placement = self._book.choose_engine(
             self._listed.values(),
             limits=self._limits,
             prompt_tokens=stream.prompt,
@@ -278,14 +282,14 @@
             part=stream.request,
             copy=copy,
         )
-        self._book.begin(booked, now)
+        self._book.record_dispatch(booked, now)
         engine.take(run)
         self._wake(engine, now)
 
     def _copy_of(self, stream: ModelStream, engine: ModelEngine, now: float) -> RunCopy | None:
         if not self._policy.copies:
             return None
-        holder = self._book.place_copy(
+        holder = self._book.choose_copy_holder(
             self._listed.values(),
             limits=self._limits,
             beside=self._listed.get(engine.id) or _unlisted(engine),
@@ -315,7 +319,7 @@
             self._leave(stream, at)
             event_s = stream.life.timing.event_s()
             token_s = None if event_s is None else event_s / stream.event_tokens
-            self._book.end(
+            self._book.record_end(
                 stream.request,
                 at,
                 whole=True,
@@ -326,7 +330,7 @@
 
     def _first_event(self, stream: ModelStream, run: ModelRun, at: float) -> None:
         stream.life.record_first_event()
-        self._book.flows(stream.request, at)
+        self._book.record_first_event(stream.request, at)
         self._hold_copy(stream, run)
 
     def _hold_copy(self, stream: ModelStream, run: ModelRun) -> None:
--- a/lagoonlever/decisions/streams/run_placement.py
+++ b/lagoonlever/decisions/streams/run_placement.py
@@ -17,10 +17,10 @@
 
 import attrs
 
-from lagoonlever.decisions.admission.prompt_admission import admits, most_share
+from lagoonlever.decisions.admission.prompt_admission import admits_prompt, max_prefill_share
+from lagoonlever.decisions.admission.prompt_queue import max_prefills_per_s
 from lagoonlever.decisions.admission.retry_window import RetryWindow
-from lagoonlever.decisions.admission.room_line import reading_rate
-from lagoonlever.decisions.engines.engine_book import EngineBook
+from lagoonlever.decisions.engines.engine_scheduler import EngineScheduler
 from lagoonlever.decisions.engines.uneven_engines import UnevenChoice
 from lagoonlever.decisions.settings.configuration import EngineLimits
 from lagoonlever.decisions.streams.engine_runs import EngineRun
@@ -116,7 +116,7 @@
 class PlacementContext:
     """State of this VM that a placement is decided on."""
 
-    book: EngineBook
+    book: EngineScheduler
     window: RetryWindow
     """The retry budget."""
     targets: TargetRegistry
@@ -161,7 +161,7 @@
     """Return the prompts per second that a service's engines can prefill; avoided ones excluded."""
     avoidance = context.book.avoidance
     usable = [e for e in context.targets.serving(service) if not avoidance.is_avoided(e.id, now)]
-    return reading_rate(len(usable), context.book.paces.usual_reading_s(service))
+    return max_prefills_per_s(len(usable), context.book.timings.usual_prefill_s(service))
 
 
 def reserved_run(request: PlacementRequest, placed: Placed, *, vm: str) -> EngineRun:
@@ -185,7 +185,7 @@
     begins_within_s: float | None = None,
 ) -> Placed | None:
     """Choose an engine and the holder of the copy, or return None if no engine qualifies."""
-    placement = context.book.place(
+    placement = context.book.choose_engine(
         context.targets.serving(request.service, on_trial=request.on_trial),
         limits=context.limits,
         prompt_tokens=request.prompt_tokens,
@@ -222,7 +222,7 @@
     """Return the id of an engine to hold the copy of a run at ``engine``, or None."""
     if not request.copies:
         return None
-    holder = context.book.place_copy(
+    holder = context.book.choose_copy_holder(
         context.targets.serving(request.service),
         limits=context.limits,
         beside=engine,
@@ -244,18 +244,18 @@
     """
     if request.allowed_s is None:
         return None
-    paces = context.book.paces
-    decode_s = paces.usual_making_s(request.service)
+    paces = context.book.timings
+    decode_s = paces.usual_decode_s(request.service)
     if decode_s is None:
         return None
-    max_load_share = most_share(
-        making_s=decode_s,
-        reading_s=paces.usual_reading_s(request.service),
+    max_load_share = max_prefill_share(
+        decode_s=decode_s,
+        prefill_s=paces.usual_prefill_s(request.service),
         allowed_s=request.allowed_s,
         slowdown=paces.slowdown(request.service),
     )
     engines = len(context.targets.serving(request.service))
-    load = context.book.reading_load(request.service, engines=engines, now=now)
-    if admits(load, most=max_load_share):
+    load = context.book.prefill_load(request.service, engines=engines, now=now)
+    if admits_prompt(load, max_share=max_load_share):
         return None
     return Overloaded(share=load.share, most=max_load_share)
--- a/lagoonlever/decisions/streams/time.py
+++ b/lagoonlever/decisions/streams/time.py
@@ -8,7 +8,7 @@
 
 from __future__ import annotations
 
-from lagoonlever.decisions.engines.engine_paces import Pace
+from lagoonlever.decisions.engines.engine_timings import TokenTimes
 
 MIN_LENGTH_SHARE = 0.6
 """Share of the announced answer length that is assumed at least.
@@ -19,7 +19,7 @@
 
 def min_time_s(
     *,
-    pace: Pace,
+    pace: TokenTimes,
     prompt_tokens: int,
     output_tokens: int,
     position: int,
--- a/lagoonlever/entry/engines/crashes.py
+++ b/lagoonlever/entry/engines/crashes.py
@@ -11,10 +11,10 @@
 import attrs
 import logbook
 
-from lagoonlever.decisions.engines.crash_ends import BEGAN, End, process_name
 from lagoonlever.decisions.engines.crash_suspects import CrashSuspects
-from lagoonlever.decisions.engines.fingerprints import RequestWork
-from lagoonlever.decisions.engines.suspect_gathering import gathering_engine
+from lagoonlever.decisions.engines.fingerprints import RequestIdentity
+from lagoonlever.decisions.engines.suspect_placement import choose_suspect_engine
+from lagoonlever.decisions.engines.target_crashes import WEIGHT_STARTED, Crash, process_name
 from lagoonlever.decisions.membership.membership import MemberView
 from lagoonlever.decisions.streams.generation_messages import GenerationSpec
 from lagoonlever.decisions.targets.targets import Target
@@ -68,8 +68,8 @@
         with self._timers.subscribed(self._expire, period_s=EXPIRE_PERIOD_S):
             async for received in self._bus.subscribe(TargetsEnded):
                 ends = read_ends(received.message, self._timers.now)
-                self._suspects.learn(ends)
-                for fingerprint in self._suspects.cleared_here(ends):
+                self._suspects.record_reported_crashes(ends)
+                for fingerprint in self._suspects.find_cleared_here(ends):
                     self._tell(RequestServed(fingerprint=fingerprint))
                 self._ends_known()
 
@@ -77,55 +77,59 @@
         """Take which requests were served after all, until cancelled."""
         async for received in self._bus.subscribe(RequestServed):
             fingerprint = received.message.fingerprint
-            self._suspects.served(fingerprint, self._timers.now, is_own=False)
+            self._suspects.record_answer(fingerprint, self._timers.now, is_own=False)
 
     def refusal(self, spec: GenerationSpec) -> NotRun | None:
         """Give what the caller of a barred prompt is told, or None where it may run."""
-        if not self._suspects.ends:
+        if not self._suspects.crashes:
             return None
-        bar = self._suspects.bar(_fingerprint(spec), self._timers.now)
+        bar = self._suspects.find_block(_fingerprint(spec), self._timers.now)
         if bar is None:
             return None
         return NotRun(
             reason=Reason.ENDS_TARGETS,
-            message=f"{bar.ended} engines ended under this prompt",
-            retry_after_s=bar.for_s,
+            message=f"{bar.crash_count} engines ended under this prompt",
+            retry_after_s=bar.remaining_s,
         )
 
     def gathering_place(self, spec: GenerationSpec, engines: Iterable[Target]) -> str | None:
         """Give which of the engines all returns of a request go to, or None for any of them."""
-        if not self._suspects.ends:
+        if not self._suspects.crashes:
             return None
         fingerprint = _fingerprint(spec)
-        if not self._suspects.is_next_to_last(fingerprint):
+        if not self._suspects.is_one_crash_from_block(fingerprint):
             return None
         processes = {engine.name: process_name(engine.name, None) for engine in engines}
-        return gathering_engine(fingerprint, processes, ended=self._suspects.ends[fingerprint])
+        return choose_suspect_engine(
+            fingerprint, processes, ended=self._suspects.crashes[fingerprint]
+        )
 
     async def look(self, spec: GenerationSpec, target: Target, *, sent_at: float) -> None:
         """Note that an engine ended under a request that got no token of it, if it has ended."""
         process = process_name(target.name, None)
-        if await _accepts(target) or self._suspects.has_ended(process, sent_at):
+        if await _accepts(target) or self._suspects.has_crashed(process, sent_at):
             return
         fingerprint, now = _fingerprint(spec), self._timers.now
-        if not self._suspects.ended_under(fingerprint, process, End(at=now, weight=BEGAN)):
+        if not self._suspects.record_crash(
+            fingerprint, process, Crash(at=now, weight=WEIGHT_STARTED)
+        ):
             return
         ENGINE_ENDED_UNDER.log(
             log,
             target=target.name,
             request=spec.request_id,
             organisation=spec.organisation,
-            ended=self._suspects.count(fingerprint),
+            ended=self._suspects.count_crashes(fingerprint),
             fingerprint=fingerprint,
         )
-        told = EndTold(fingerprint=fingerprint, process=process, age_s=0.0, weight=BEGAN)
+        told = EndTold(fingerprint=fingerprint, process=process, age_s=0.0, weight=WEIGHT_STARTED)
         self._tell(TargetsEnded(ends=(told,)))
         self._ends_known()
 
     def served(self, spec: GenerationSpec) -> None:
         """Note that an engine gave a whole answer: the prompt ends none."""
         fingerprint = _fingerprint(spec)
-        if self._suspects.served(fingerprint, self._timers.now, is_own=True):
+        if self._suspects.record_answer(fingerprint, self._timers.now, is_own=True):
             self._tell(RequestServed(fingerprint=fingerprint))
 
     def _tell(self, message: TargetsEnded | RequestServed) -> None:
@@ -144,7 +148,7 @@
 
 def _fingerprint(spec: GenerationSpec) -> str:
     prompt = spec.prompt if isinstance(spec.prompt, str) else repr(spec.prompt)
-    work = RequestWork(
+    work = RequestIdentity(
         host="",
         method="POST",
         target=spec.model,
--- a/lagoonlever/gateway/attempt_planner.py
+++ b/lagoonlever/gateway/attempt_planner.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from lagoonlever.decisions.admission.room import RefusedWithReturn
+from lagoonlever.decisions.admission.capacity import RejectedWithRetryAfter
 from lagoonlever.decisions.streams.engine_runs import EngineRun, RunCopy
 from lagoonlever.decisions.streams.run_placement import (
     NoEngine,
@@ -21,7 +21,7 @@
     ResumeFromCopy,
     StreamLifecycle,
 )
-from lagoonlever.decisions.targets.limit_permits import need_of
+from lagoonlever.decisions.targets.limit_permits import required_permits
 from lagoonlever.decisions.targets.listed_target import ListedTarget
 from lagoonlever.gateway.accepted import Accepted
 from lagoonlever.gateway.attempt_tools import AttemptPlan
@@ -52,9 +52,9 @@
 
     async def plan(
         self, accepted: Accepted, life: StreamLifecycle, step: PlaceAttempt | ResumeFromCopy
-    ) -> AttemptPlan | RetryBudgetExhausted | Overloaded | RefusedWithReturn | None:
+    ) -> AttemptPlan | RetryBudgetExhausted | Overloaded | RejectedWithRetryAfter | None:
         """Give the attempt, or why there is none; None where the life has another step to try."""
-        outcome: RunOutcome | RefusedWithReturn = NoEngine()
+        outcome: RunOutcome | RejectedWithRetryAfter = NoEngine()
         gathering: str | None = None
         if not isinstance(step, ResumeFromCopy) or self._holder_of(step.copy) is not None:
             copies = self._beliefs.engine_limits(accepted.service).copies
@@ -63,7 +63,7 @@
             ask = attrs.evolve(ask, avoid=tuple(sorted({*ask.avoid, *held})))
             gathering = self._gathering(accepted, step, ask)
             outcome = await self._place(accepted, life, step, ask, gathering)
-        if isinstance(outcome, RetryBudgetExhausted | Overloaded | RefusedWithReturn):
+        if isinstance(outcome, RetryBudgetExhausted | Overloaded | RejectedWithRetryAfter):
             return outcome
         found = self._beliefs.targets.find(outcome.engine) if isinstance(outcome, Placed) else None
         if found is None or not isinstance(outcome, Placed):
@@ -79,7 +79,7 @@
         step: PlaceAttempt | ResumeFromCopy,
         ask: PlacementRequest,
         gathering: str | None,
-    ) -> RunOutcome | RefusedWithReturn:
+    ) -> RunOutcome | RejectedWithRetryAfter:
         """Find a place, by the line if the service has one and the prompt is to be read.
 
         What goes on where its prompt was read goes at once: its pause is what counts.
@@ -168,7 +168,7 @@
 
 def stream_need(accepted: Accepted, life: StreamLifecycle) -> float:
     """Give the permits that must be saved at an engine in need before it gets a stream."""
-    return need_of(
+    return required_permits(
         priority=accepted.priority, begun=life.position is not None, first=life.sent == 0
     )
 
--- a/lagoonlever/gateway/call_desk.py
+++ b/lagoonlever/gateway/call_desk.py
@@ -8,9 +8,13 @@
 import logbook
 import trio
 
-from lagoonlever.decisions.admission.call_line import CallEnd, CallLine, LineNews
-from lagoonlever.decisions.admission.room import RefusedWithReturn, RoomGiven, RoomOutcome
-from lagoonlever.decisions.targets.call_desks import groups_of
+from lagoonlever.decisions.admission.call_queue import CallEnd, CallQueue, QueueDecision
+from lagoonlever.decisions.admission.capacity import (
+    CapacityGranted,
+    CapacityOutcome,
+    RejectedWithRetryAfter,
+)
+from lagoonlever.decisions.targets.call_coordinators import runner_groups
 from lagoonlever.gateway import events_calls as events
 from lagoonlever.gateway import metrics
 from lagoonlever.gateway.beliefs import Beliefs
@@ -36,7 +40,7 @@
 class _Line:
     service: str
     group: int
-    line: CallLine = attrs.field(factory=CallLine)
+    line: CallQueue = attrs.field(factory=CallQueue)
     replies: dict[str, tuple[PlaceAsk, Reply]] = attrs.field(factory=dict)
     """To those that wait."""
     asked_at: float = 0.0
@@ -70,12 +74,14 @@
         request = _request(vm, asked.number)
         ask = asked.line_ask(request, now)
         if asked.first is not None:
-            outcome: RoomOutcome = kept.line.ask_second(ask, first=asked.first, now=now)
+            outcome: CapacityOutcome = kept.line.request_second_slot(
+                ask, first=asked.first, now=now
+            )
         else:
-            outcome = kept.line.ask(ask, now)
-        if isinstance(outcome, RefusedWithReturn):
+            outcome = kept.line.request_slot(ask, now)
+        if isinstance(outcome, RejectedWithRetryAfter):
             self._log_refused(kept, asked.rank, outcome, now)
-        elif not isinstance(outcome, RoomGiven) and asked.first is None:
+        elif not isinstance(outcome, CapacityGranted) and asked.first is None:
             kept.replies[request] = (asked, reply)
             self._waits.set()
         told = PlaceTold.of(asked.number, asked.service, outcome, work_s=kept.line.work_s)
@@ -90,9 +96,9 @@
         now, request = self._timers.now, _request(vm, ended.number)
         kept.replies.pop(request, None)
         if ended.target is None:
-            kept.line.leave(request)
+            kept.line.withdraw(request)
             return
-        kept.line.ended(
+        kept.line.record_end(
             request,
             ended.target,
             ended.end,
@@ -105,7 +111,7 @@
     def started_again(self, target: str) -> None:
         """Note that another process has a runner's id."""
         for kept in self._lines.values():
-            kept.line.started_again(target)
+            kept.line.record_restart(target)
 
     async def _receive_asks(self) -> None:
         async for received in self._bus.subscribe(PlaceAsk, capacity=CAPACITY):
@@ -136,7 +142,7 @@
         """Give a line with the runners of its group, as they are listed now."""
         serving = self._beliefs.targets.serving(service)
         able = {each.id: each.data_center for each in serving if not self._rests(each.id)}
-        groups = groups_of(service, (each.id for each in serving))
+        groups = runner_groups(service, (each.id for each in serving))
         names = groups[group] if group < len(groups) else ()
         kept = self._lines.get((service, group))
         if kept is None:
@@ -147,9 +153,9 @@
 
     def _tell_news(self, kept: _Line, now: float) -> None:
         for news in kept.line.tick(now):
-            asked, reply = kept.replies.pop(news.request, (None, None))
+            asked, reply = kept.replies.pop(news.request_id, (None, None))
             if asked is None or reply is None:
-                kept.line.ended(news.request, _target(news), CallEnd.UNUSED, now)
+                kept.line.record_end(news.request_id, _target(news), CallEnd.UNUSED, now)
                 continue
             self._log_news(kept, asked, news, now)
             work_s = kept.line.work_s
@@ -157,8 +163,8 @@
         if not kept.line.waiting:
             kept.replies.clear()
 
-    def _log_news(self, kept: _Line, asked: PlaceAsk, news: LineNews, now: float) -> None:
-        if isinstance(news.outcome, RefusedWithReturn):
+    def _log_news(self, kept: _Line, asked: PlaceAsk, news: QueueDecision, now: float) -> None:
+        if isinstance(news.outcome, RejectedWithRetryAfter):
             self._log_refused(kept, asked.rank, news.outcome, now)
             return
         self._tally.record(metrics.CALL_PLACE_WAIT, news.waited_s)
@@ -171,7 +177,9 @@
             runners=kept.line.describe(now),
         )
 
-    def _log_refused(self, kept: _Line, rank: int, refused: RefusedWithReturn, now: float) -> None:
+    def _log_refused(
+        self, kept: _Line, rank: int, refused: RejectedWithRetryAfter, now: float
+    ) -> None:
         self._tally.add(metrics.CALLS_REFUSED_FOR_ROOM, str(rank))
         events.CALL_REFUSED.log(
             log,
@@ -187,5 +195,5 @@
     return f"{vm.name}/{vm.nonce}/{number}"
 
 
-def _target(news: LineNews) -> str:
-    return news.outcome.target if isinstance(news.outcome, RoomGiven) else ""
+def _target(news: QueueDecision) -> str:
+    return news.outcome.target if isinstance(news.outcome, CapacityGranted) else ""
--- a/lagoonlever/gateway/call_places.py
+++ b/lagoonlever/gateway/call_places.py
@@ -13,10 +13,14 @@
 import logbook
 import trio
 
-from lagoonlever.decisions.admission.call_line import RENEW_S, CallEnd
-from lagoonlever.decisions.admission.room import RefusedWithReturn, RoomGiven, WaitInLine
+from lagoonlever.decisions.admission.call_queue import RENEW_INTERVAL_S, CallEnd
+from lagoonlever.decisions.admission.capacity import (
+    CapacityGranted,
+    QueuedForCapacity,
+    RejectedWithRetryAfter,
+)
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS, gives
-from lagoonlever.decisions.targets.call_desks import desks_of, groups_of
+from lagoonlever.decisions.targets.call_coordinators import ranked_coordinators, runner_groups
 from lagoonlever.decisions.targets.listed_target import ListedTarget
 from lagoonlever.gateway import events_calls as events
 from lagoonlever.gateway import metrics
@@ -63,7 +67,7 @@
     """The VM that gave it."""
 
 
-PlaceOutcome = CallPlace | RefusedWithReturn | None
+PlaceOutcome = CallPlace | RejectedWithRetryAfter | None
 """None where the VM chooses by itself."""
 
 
@@ -112,7 +116,7 @@
     def serves(self, service: str) -> bool:
         """Tell whether places at the runners of a service are given out."""
         loads = self._beliefs.loads
-        return any(loads.tells_slowness(each.id) for each in self._serving(service))
+        return any(loads.reports_slowness(each.id) for each in self._serving(service))
 
     async def take(self, accepted: Accepted, *, avoid: Collection[str] = ()) -> PlaceOutcome:
         """Get a place, once there is one."""
@@ -150,7 +154,7 @@
     ) -> PlaceOutcome:
         service = accepted.service
         names = [each.id for each in self._serving(service)]
-        groups = groups_of(service, names)
+        groups = runner_groups(service, names)
         if set(avoid).issuperset(names):
             return None
         number = next(self._numbers)
@@ -178,10 +182,10 @@
 
     def _outcome(self, told: PlaceTold, question: _Question, desk: str) -> PlaceOutcome:
         outcome = told.outcome
-        if isinstance(outcome, RefusedWithReturn):
+        if isinstance(outcome, RejectedWithRetryAfter):
             return outcome
-        if not isinstance(outcome, RoomGiven):
-            return RefusedWithReturn(detail="no slot is free", retry_after_s=RENEW_S)
+        if not isinstance(outcome, CapacityGranted):
+            return RejectedWithRetryAfter(detail="no slot is free", retry_after_s=RENEW_INTERVAL_S)
         place = CallPlace(
             target=outcome.target,
             number=question.number,
@@ -207,7 +211,7 @@
                     told = await receive.receive()
                 if told is None or not self._waits(told, question):
                     return told
-                with trio.move_on_after(RENEW_S):
+                with trio.move_on_after(RENEW_INTERVAL_S):
                     while self._waits(told, question):
                         told = await receive.receive()
                 if not self._waits(told, question):
@@ -217,7 +221,7 @@
             self._leave_unless_given(desk, question, told)
 
     def _waits(self, told: PlaceTold, question: _Question) -> bool:
-        return question.first is None and isinstance(told.outcome, WaitInLine)
+        return question.first is None and isinstance(told.outcome, QueuedForCapacity)
 
     def _leave_unless_given(self, desk: str, question: _Question, told: PlaceTold | None) -> None:
         """Tell a desk that an attempt waits there no longer, whether its answer was lost or not."""
@@ -272,7 +276,7 @@
         return True
 
     def _give_back(self, told: PlaceTold, desk: str) -> None:
-        groups = groups_of(told.service, (each.id for each in self._serving(told.service)))
+        groups = runner_groups(told.service, (each.id for each in self._serving(told.service)))
         for group in range(len(groups)):
             message = PlaceEnded(
                 number=told.number, service=told.service, group=group, target=told.target
@@ -298,7 +302,7 @@
         if not names or not self._leaving():
             names.append(self._bus.own.name)
         able = [name for name in names if self._silent_until.get(name, 0.0) <= now]
-        return desks_of(service, group, able)[:MOST_DESKS]
+        return ranked_coordinators(service, group, able)[:MOST_DESKS]
 
     def _serving(self, service: str) -> tuple[ListedTarget, ...]:
         return self._beliefs.targets.serving(service)
--- a/lagoonlever/gateway/crash_watch.py
+++ b/lagoonlever/gateway/crash_watch.py
@@ -15,9 +15,9 @@
 import logbook
 import trio
 
-from lagoonlever.decisions.engines.crash_ends import BEGAN, End, process_name
 from lagoonlever.decisions.engines.crash_suspects import CrashSuspects
-from lagoonlever.decisions.engines.suspect_gathering import gathering_engine
+from lagoonlever.decisions.engines.suspect_placement import choose_suspect_engine
+from lagoonlever.decisions.engines.target_crashes import WEIGHT_STARTED, Crash, process_name
 from lagoonlever.decisions.fleet.roles import Roles
 from lagoonlever.decisions.targets.listed_target import ListedTarget
 from lagoonlever.gateway import events, metrics
@@ -107,32 +107,34 @@
 
     def is_barred(self, accepted: Accepted) -> bool:
         """Tell whether a request may not run now."""
-        ends = self._suspects.ends
+        ends = self._suspects.crashes
         now = self._timers.now
-        return bool(ends) and self._suspects.bar(accepted.fingerprint, now) is not None
+        return bool(ends) and self._suspects.find_block(accepted.fingerprint, now) is not None
 
     def refusal(self, accepted: Accepted) -> NotRun | None:
         """Give what the caller of a barred request is told, or None where it may run."""
-        if not self._suspects.ends:
+        if not self._suspects.crashes:
             return None
-        bar = self._suspects.bar(accepted.fingerprint, self._timers.now)
+        bar = self._suspects.find_block(accepted.fingerprint, self._timers.now)
         if bar is None:
             return None
         self._tally.add(metrics.BARRED, accepted.route.kind.value)
         return NotRun(
             reason=Reason.ENDS_TARGETS,
-            message=f"{bar.ended} targets ended under this request ({accepted.fingerprint})",
-            retry_after_s=bar.for_s,
+            message=f"{bar.crash_count} targets ended under this request ({accepted.fingerprint})",
+            retry_after_s=bar.remaining_s,
         )
 
     def is_suspect(self, accepted: Accepted) -> bool:
         """Tell whether a target has ended under a request."""
-        return bool(self._suspects.ends) and self._suspects.count(accepted.fingerprint) > 0
+        return (
+            bool(self._suspects.crashes) and self._suspects.count_crashes(accepted.fingerprint) > 0
+        )
 
     def gathering_place(self, accepted: Accepted, *, avoid: Container[str] = ()) -> str | None:
         """Give the engine where all returns of a request go, or None where each may go anywhere."""
         fingerprint = accepted.fingerprint
-        if not self._suspects.is_next_to_last(fingerprint):
+        if not self._suspects.is_one_crash_from_block(fingerprint):
             return None
         avoidance, now = self._beliefs.book.avoidance, self._timers.now
         able = {
@@ -140,7 +142,7 @@
             for engine in self._beliefs.targets.serving(accepted.service)
             if engine.id not in avoid and not avoidance.is_avoided(engine.id, now)
         }
-        return gathering_engine(fingerprint, able, ended=self._suspects.ends[fingerprint])
+        return choose_suspect_engine(fingerprint, able, ended=self._suspects.crashes[fingerprint])
 
     @contextlib.contextmanager
     def until_barred(self, accepted: Accepted, *, leaves: str | None = None) -> Iterator[None]:
@@ -172,7 +174,7 @@
         Waits a moment for the record: a VM that does not hear others learns what they saw
         before it sends the request to the next target.
         """
-        if self._suspects.has_ended(process_name(target.id, target.started_ms), sent_at):
+        if self._suspects.has_crashed(process_name(target.id, target.started_ms), sent_at):
             return
         if not self._note(accepted, target, weight):
             return
@@ -185,12 +187,12 @@
     async def lost_call(self, accepted: Accepted, target: ListedTarget, *, sent_at: float) -> None:
         """Look whether a target has ended under a call: one that has takes no connection."""
         if not await self._client.reaches(target):
-            await self.ended_under(accepted, target, weight=BEGAN, sent_at=sent_at)
+            await self.ended_under(accepted, target, weight=WEIGHT_STARTED, sent_at=sent_at)
 
     def served(self, accepted: Accepted) -> None:
         """Note that a target has answered a request whole: it ends no target."""
         fingerprint = accepted.fingerprint
-        if not self._suspects.served(fingerprint, self._timers.now, is_own=True):
+        if not self._suspects.record_answer(fingerprint, self._timers.now, is_own=True):
             return
         events.REQUEST_CLEARED.log(log, fingerprint=fingerprint, request=accepted.request_id)
         self._news.tell(RequestServed(fingerprint=fingerprint))
@@ -204,8 +206,8 @@
         """Count an end that this VM saw; gives whether it is news."""
         fingerprint = accepted.fingerprint
         process = process_name(target.id, target.started_ms)
-        end = End(at=self._timers.now, weight=weight)
-        if not self._suspects.ended_under(fingerprint, process, end):
+        end = Crash(at=self._timers.now, weight=weight)
+        if not self._suspects.record_crash(fingerprint, process, end):
             return False
         events.TARGET_ENDED_UNDER.log(
             log,
@@ -214,7 +216,7 @@
             target=target.id,
             organisation=accepted.organisation,
             route=accepted.route.name,
-            ended=self._suspects.count(fingerprint),
+            ended=self._suspects.count_crashes(fingerprint),
             weight=weight,
         )
         self._tally.add(metrics.TARGETS_ENDED, accepted.route.kind.value)
@@ -226,7 +228,7 @@
     def _take_news(self) -> None:
         """End what may not go on after ends were noted or told."""
         self._note_barred()
-        for fingerprint in self._open.keys() & self._suspects.ends.keys():
+        for fingerprint in self._open.keys() & self._suspects.crashes.keys():
             for work in self._open[fingerprint]:
                 if self._is_misplaced(work):
                     work.scope.cancel()
@@ -238,13 +240,13 @@
 
     def _note_barred(self) -> None:
         """Tell of requests that are barred from now on, and end the work on them."""
-        new, self._barred = self._suspects.barred - self._barred, self._suspects.barred
+        new, self._barred = self._suspects.blocked - self._barred, self._suspects.blocked
         for fingerprint in new:
-            bar = self._suspects.bar(fingerprint, self._timers.now)
+            bar = self._suspects.find_block(fingerprint, self._timers.now)
             if bar is None:
                 continue
             events.REQUEST_BARRED.log(
-                log, fingerprint=fingerprint, ended=bar.ended, for_s=bar.for_s
+                log, fingerprint=fingerprint, ended=bar.crash_count, for_s=bar.remaining_s
             )
             for work in self._open.get(fingerprint, ()):
                 work.scope.cancel()
--- a/lagoonlever/gateway/permit_exchange.py
+++ b/lagoonlever/gateway/permit_exchange.py
@@ -10,17 +10,17 @@
 
 from lagoonlever.decisions.fleet.roles import Roles
 from lagoonlever.decisions.targets.limit_permits import (
-    LEAST_PER_S,
-    SILENT_MISSES,
+    MAX_MISSES,
+    MIN_RATE_PER_S,
     STAND_IN_SHARE,
     Denied,
     Granted,
-    PermitBook,
+    PermitBuckets,
     PermitOutcome,
     SilentVms,
-    counters_of,
+    limit_coordinators,
 )
-from lagoonlever.decisions.targets.named_limits import LimitWord, NamedLimits
+from lagoonlever.decisions.targets.named_limits import LimitReport, ReportedLimits
 from lagoonlever.gateway import events
 from lagoonlever.gateway.beliefs import Beliefs
 from lagoonlever.gateway.questions import Questions
@@ -52,8 +52,8 @@
     _vm: str
     """This VM's name."""
     _leaving: Callable[[], bool]
-    _named: NamedLimits
-    _book: PermitBook = attrs.field(factory=PermitBook)
+    _named: ReportedLimits
+    _book: PermitBuckets = attrs.field(factory=PermitBuckets)
     _silent: SilentVms = attrs.field(factory=SilentVms)
     _probed_at: dict[str, float] = attrs.field(factory=dict)
     """When this VM last asked whether another one answers."""
@@ -69,7 +69,7 @@
             nursery.start_soon(self._receive_asks, nursery)
             nursery.start_soon(self._questions.receive, PermitTold)
 
-    async def ask(self, target: str, word: LimitWord, *, need: float) -> PermitOutcome:
+    async def ask(self, target: str, word: LimitReport, *, need: float) -> PermitOutcome:
         """Give whether one request may be sent to a target that names a limit."""
         counter, stand_in = self._counters(target)
         if counter is None:
@@ -86,7 +86,7 @@
         return outcome or Denied(wait_s=UNSURE_S)
 
     async def _ask_vm(
-        self, vm: str, target: str, word: LimitWord, need: float
+        self, vm: str, target: str, word: LimitReport, need: float
     ) -> PermitOutcome | None:
         """Give what another VM decides; None where it doesn't answer."""
         state = self._beliefs.fellows.find(vm)
@@ -99,10 +99,10 @@
 
         answer = await self._questions.ask(state.bus, question, PermitTold, timeout_s=ANSWER_S)
         if answer is None:
-            self._silent.missed(vm, self._timers.now)
+            self._silent.record_miss(vm, self._timers.now)
             events.COUNTER_SILENT.log(log, vm=vm, target=target, seconds=ANSWER_S)
             return None
-        self._silent.answered(vm)
+        self._silent.record_answer(vm)
         if answer.word is not None:
             self.learn(answer.word)
         return answer.outcome
@@ -119,7 +119,7 @@
         names = [fellow.life.name for fellow in present if not fellow.leaving]
         if not names or not self._leaving():
             names.append(self._vm)
-        counter, *others = counters_of(target, names)
+        counter, *others = limit_coordinators(target, names)
         return counter, others[0] if others else None
 
     def learn(self, told: WordTold) -> bool:
@@ -127,11 +127,11 @@
         target = self._beliefs.targets.find(told.target)
         if target is None or target.is_later_than(told.started_ms):
             return False
-        return self._named.learn(told.target, told.word(self._timers.now))
+        return self._named.update(told.target, told.word(self._timers.now))
 
-    def told(self, target: str, word: LimitWord) -> WordTold:
+    def told(self, target: str, word: LimitReport) -> WordTold:
         """Give the message of a word that this VM has."""
-        started_ms = self._beliefs.targets.start_of(target)
+        started_ms = self._beliefs.targets.process_start(target)
         return WordTold.of(target, word, started_ms=started_ms, now=self._timers.now)
 
     def begin(self, target: str) -> None:
@@ -151,27 +151,27 @@
         self._probed_at = {vm: at for vm, at in self._probed_at.items() if vm in names}
 
     def _decide(self, target: str, need: float) -> PermitOutcome:
-        word = self._named.of(target)
+        word = self._named.current(target)
         if word is None or word.per_s is None:
             return Granted(counted=False)
-        return self._book.ask(target, per_s=word.per_s, need=need, now=self._timers.now)
+        return self._book.acquire(target, per_s=word.per_s, need=need, now=self._timers.now)
 
     def _stand_in(self, counter: str, target: str, need: float) -> PermitOutcome:
         """Decide for a VM that is silent here, too, and may count on for itself and others."""
         if not self._silent.is_silent(counter, self._timers.now):
             return Denied(wait_s=UNSURE_S)
-        word = self._named.of(target)
+        word = self._named.current(target)
         if word is None or word.per_s is None:
             return Granted(counted=False)
         per_s = STAND_IN_SHARE * word.per_s
-        if per_s < LEAST_PER_S:
+        if per_s < MIN_RATE_PER_S:
             return Denied(wait_s=UNSURE_S)
-        return self._book.ask(target, per_s=per_s, need=need, now=self._timers.now)
+        return self._book.acquire(target, per_s=per_s, need=need, now=self._timers.now)
 
     async def _probe(self, counter: str, target: str) -> None:
         """Ask the VM that counts for no permit, until it answers or is known to be silent."""
-        for _ in range(SILENT_MISSES):
-            word = self._named.last(target)
+        for _ in range(MAX_MISSES):
+            word = self._named.latest(target)
             if word is None or await self._ask_vm(counter, target, word, PROBE_NEED) is not None:
                 return
 
@@ -196,6 +196,6 @@
             if now - self._probed_at.get(counter, float("-inf")) >= PROBE_EVERY_S:
                 self._probed_at[counter] = now
                 nursery.start_soon(self._probe, counter, target)
-        word = self._named.last(target)
+        word = self._named.latest(target)
         told = self.told(target, word) if word is not None else None
         self._bus.send(asked.reply_to, PermitTold.of(asked.number, outcome, told))
--- a/lagoonlever/gateway/stream_attempt.py
+++ b/lagoonlever/gateway/stream_attempt.py
@@ -6,9 +6,9 @@
 import logbook
 import trio
 
-from lagoonlever.decisions.engines.crash_ends import BEGAN, WAITED
 from lagoonlever.decisions.engines.engine_rank import rank_at_engine
 from lagoonlever.decisions.engines.engine_reports import is_preempted
+from lagoonlever.decisions.engines.target_crashes import WEIGHT_QUEUED, WEIGHT_STARTED
 from lagoonlever.decisions.streams.engine_runs import RunCopy
 from lagoonlever.decisions.streams.silence import (
     PAUSE_ALLOWED_S,
@@ -206,7 +206,7 @@
 
     def _new_silence(self) -> SilenceDetector:
         route, service = self._accepted.route, self._accepted.service
-        usual_s = self._tools.beliefs.book.paces.usual_reading_s(service)
+        usual_s = self._tools.beliefs.book.timings.usual_prefill_s(service)
         return SilenceDetector(
             sent_at=self._now,
             first_query_s=first_query_delay_s(
@@ -245,7 +245,7 @@
         self._count("answered")
         self._counts.whole(self._now)
         self._life.whole = True
-        self._tools.beliefs.book.avoidance.served(self._plan.engine.id)
+        self._tools.beliefs.book.avoidance.record_success(self._plan.engine.id)
         self._tools.crashes.served(self._accepted)
         await self._copies.free()
         return head
@@ -278,11 +278,11 @@
                 continue
             assert isinstance(step, WaitUntil)
             began = self._tools.timers.elapsed
-            if self._signs.wants_look(began):
-                self._signs.waits(began, nothing_there=connection.quiet)
+            if self._signs.is_check_due(began):
+                self._signs.record_wait(began, nothing_there=connection.quiet)
             with trio.move_on_at(step.at):
                 read = await (connection.read_head() if head else connection.next_piece())
-                self._signs.arrived(self._tools.timers.elapsed)
+                self._signs.record_arrival(self._tools.timers.elapsed)
                 return read
 
     async def _ask(self, connection: ClientConnection, silence: SilenceDetector) -> None:
@@ -332,7 +332,7 @@
     def _leave_stuck_queue(self, report: EngineReport) -> None:
         """Leave an engine whose queue waits for memory, if another one has room."""
         window = self._tools.budgets.of_runs(self._accepted.service)
-        if not self._may_look_again() or not window.allows(self._now, vms=1, part=MOVES_PART):
+        if not self._may_look_again() or not window.allows(self._now, vms=1, share=MOVES_PART):
             return
         if is_stuck(report, self._plan, self._tools):
             raise _Moved
@@ -340,7 +340,7 @@
     def _has_started_again(self) -> bool:
         """Tell whether the engine is another process than the one that the run was sent to."""
         engine = self._tools.beliefs.targets.find(self._plan.engine.id)
-        return engine is not None and engine.has_started_again(self._plan.run.engine_started_ms)
+        return engine is not None and engine.has_restarted_since(self._plan.run.engine_started_ms)
 
     async def _accept_head(self, response: Response, head: AnswerHead) -> bool:
         """Judge the head of an answer; begins the caller's answer with a first good one."""
@@ -415,7 +415,7 @@
             self._counts.failed()
         self._life.record_loss(engine.id, str(ended), alive=alive, read=self._has_read)
         if alive:
-            self._tools.beliefs.book.avoidance.broke(engine.id, self._now)
+            self._tools.beliefs.book.avoidance.record_broken_answer(engine.id, self._now)
         else:
             self._peers.engine_lost(engine.id, replaced=False)
             if self._signs.alive_at is not None:
@@ -437,8 +437,8 @@
         if self._flowing:
             return 0.0
         if self._answered:
-            return BEGAN
-        return 0.0 if ended.unanswered or self._life.position else WAITED
+            return WEIGHT_STARTED
+        return 0.0 if ended.unanswered or self._life.position else WEIGHT_QUEUED
 
     @property
     def _has_read(self) -> bool:
@@ -449,13 +449,13 @@
         """Leave an engine that other VMs chose at the same moment, if another is better."""
         await trio.sleep(self._tools.beliefs.book.news_s + LOOK_MARGIN_S)
         window = self._tools.budgets.of_runs(self._accepted.service)
-        if not window.allows(self._now, vms=1, part=MOVES_PART):
+        if not window.allows(self._now, vms=1, share=MOVES_PART):
             return
         serving = self._tools.beliefs.targets.serving(self._accepted.service)
         serving = self._tools.words.unlimited(serving)
         request, limits = self._accepted.request_id, self._plan.limits
         book = self._tools.beliefs.book
-        if book.has_better(request, serving, limits=limits, now=self._now):
+        if book.should_move(request, serving, limits=limits, now=self._now):
             raise _Moved
 
     def _copied(self, copy: RunCopy) -> None:
--- a/lagoonlever/gateway/target_words.py
+++ b/lagoonlever/gateway/target_words.py
@@ -8,12 +8,12 @@
 import attrs
 import logbook
 
-from lagoonlever.decisions.admission.limits import after_rest_s
+from lagoonlever.decisions.admission.limits import retry_after_pause_s
 from lagoonlever.decisions.targets.limit_permits import Denied, Granted, PermitOutcome
 from lagoonlever.decisions.targets.listed_target import ListedTarget
 from lagoonlever.decisions.targets.load_view import SentTicket
-from lagoonlever.decisions.targets.rests import RestingTargets
-from lagoonlever.decisions.targets.told_load import LoadWord
+from lagoonlever.decisions.targets.reported_load import LoadReport
+from lagoonlever.decisions.targets.rests import BackoffTargets
 from lagoonlever.gateway import events
 from lagoonlever.gateway.beliefs import Beliefs
 from lagoonlever.gateway.hub_spread import HubSpread
@@ -44,7 +44,7 @@
     _spread: HubSpread
     _limits: TargetLimits
     _rng: random.Random
-    _rests: RestingTargets = attrs.field(factory=RestingTargets)
+    _rests: BackoffTargets = attrs.field(factory=BackoffTargets)
     _unreadable: dict[str, tuple[str, ...]] = attrs.field(factory=dict)
     """The fields of each target that were logged last."""
 
@@ -59,26 +59,28 @@
             return
         self._limits.heard(target, head, sent_at=sent_at)
         if head.load is not None:
-            word = LoadWord(
+            word = LoadReport(
                 target=target,
                 load=head.load,
                 at=self._timers.now,
-                started_ms=self._beliefs.targets.start_of(target),
+                started_ms=self._beliefs.targets.process_start(target),
             )
-            self._beliefs.loads.told(word, asked_at=sent_at)
+            self._beliefs.loads.record_report(word, asked_at=sent_at)
         if head.unreadable and self._unreadable.get(target) != head.unreadable:
             self._unreadable[target] = head.unreadable
             events.TARGET_FIELD_UNREADABLE.log(log, target=target, fields=head.unreadable)
         if head.leaves:
-            self._says_leaving(target, self._beliefs.targets.start_of(target), "its own answer")
+            self._says_leaving(
+                target, self._beliefs.targets.process_start(target), "its own answer"
+            )
         if head.rest_s:
-            self._rests.asked(target, head.rest_s, self._timers.now)
+            self._rests.record(target, head.rest_s, self._timers.now)
             events.TARGET_RESTS.log(log, target=target, seconds=head.rest_s)
 
     def open(self, targets: Iterable[ListedTarget], *, need: float) -> tuple[ListedTarget, ...]:
         """Give the targets that take work of a need now, as far as they have said."""
         now = self._timers.now
-        awake = (target for target in targets if not self._rests.left_s(target.id, now))
+        awake = (target for target in targets if not self._rests.remaining_s(target.id, now))
         return self._limits.open(awake, need=need)
 
     def held(self, targets: Iterable[ListedTarget], *, need: float) -> frozenset[str]:
@@ -90,16 +92,16 @@
     def unlimited(self, targets: Iterable[ListedTarget]) -> tuple[ListedTarget, ...]:
         """Give the targets that work may be moved to without need: none in need themselves."""
         now = self._timers.now
-        awake = (target for target in targets if not self._rests.left_s(target.id, now))
+        awake = (target for target in targets if not self._rests.remaining_s(target.id, now))
         return self._limits.unlimited(awake)
 
     def rests(self, target: str) -> bool:
         """Tell whether a target wants nothing from this VM now."""
-        return self._rests.left_s(target, self._timers.now) > 0
+        return self._rests.remaining_s(target, self._timers.now) > 0
 
     async def permit(self, target: str, *, need: float) -> PermitOutcome:
         """Take a permit to send one request to a target, as far as it takes any."""
-        left_s = self._rests.left_s(target, self._timers.now)
+        left_s = self._rests.remaining_s(target, self._timers.now)
         if left_s:
             return Denied(wait_s=left_s)
         return await self._limits.permit(target, need=need)
@@ -111,11 +113,11 @@
     def sent(self, target: str, *, first: bool) -> SentTicket:
         """Count a request that is written to a target; gives what ends it."""
         self._limits.sent(target, first=first)
-        return self._beliefs.loads.sent(target, self._timers.now)
+        return self._beliefs.loads.record_sent(target, self._timers.now)
 
     def ended(self, ticket: SentTicket) -> None:
         """Note that a request is over, whatever became of it."""
-        self._beliefs.loads.ended(ticket, self._timers.now)
+        self._beliefs.loads.record_ended(ticket, self._timers.now)
 
     def come_back_s(self, service: str) -> float | None:
         """Give when a refused caller is to come back; None where no target has said anything.
@@ -124,7 +126,7 @@
         """
         rest_s = self._all_rest_s(service)
         if rest_s:
-            return round(after_rest_s(rest_s, self._rng), 2)
+            return round(retry_after_pause_s(rest_s, self._rng), 2)
         return self._limits.come_back_s(service)
 
     def all_rest(self, service: str) -> bool:
@@ -135,16 +137,16 @@
         """Give how long all targets of a service are to rest yet; 0 where one does not."""
         now = self._timers.now
         able = self._beliefs.targets.serving(service)
-        return min((self._rests.left_s(target.id, now) for target in able), default=0.0)
+        return min((self._rests.remaining_s(target.id, now) for target in able), default=0.0)
 
     def started_again(self, target: str) -> None:
         """Note that another process has a target's id: it has asked for no rest yet."""
         self._rests.forget(target)
-        self._beliefs.loads.started_again(target, self._timers.now)
+        self._beliefs.loads.record_restart(target, self._timers.now)
 
     def greet(self, newcomer: Address) -> None:
         """Tell a VM that has just come, or was not heard, which targets leave."""
-        said = self._beliefs.targets.said_leaving
+        said = self._beliefs.targets.leave_announcements
         leaving = tuple(LeavingTarget(target=t, started_ms=start) for t, start in said.items())
         if leaving:
             self._bus.send(newcomer, TargetsLeave(targets=leaving))
--- a/lagoonlever/peers/messages_calls.py
+++ b/lagoonlever/peers/messages_calls.py
@@ -8,15 +8,15 @@
 
 import attrs
 
-from lagoonlever.decisions.admission.call_line import CallEnd, LineAsk
-from lagoonlever.decisions.admission.room import (
-    RefusedWithReturn,
-    RoomAsk,
-    RoomGiven,
-    RoomOutcome,
-    WaitInLine,
+from lagoonlever.decisions.admission.call_queue import CallEnd, SlotRequest
+from lagoonlever.decisions.admission.capacity import (
+    CapacityGranted,
+    CapacityOutcome,
+    CapacityRequest,
+    QueuedForCapacity,
+    RejectedWithRetryAfter,
 )
-from lagoonlever.decisions.targets.told_load import ToldLoad
+from lagoonlever.decisions.targets.reported_load import ReportedLoad
 from lagoonlever.http.messages import Address
 from lagoonlever.peers.messages import PEER
 
@@ -41,18 +41,18 @@
     first: str | None = None
     """The runner of the first attempt, where this is for a second beside it."""
 
-    def line_ask(self, request: str, now: float) -> LineAsk:
+    def line_ask(self, request: str, now: float) -> SlotRequest:
         """Give the same by this VM's clock."""
-        room = RoomAsk(
-            request=request,
+        room = CapacityRequest(
+            request_id=request,
             service=self.service,
             rank=self.rank,
-            arrived=now,
+            arrived_at=now,
             start_by=now + self.start_in_s,
             end_by=now + self.end_in_s,
             repeatable=self.repeatable,
         )
-        return LineAsk(room=room, data_center=self.data_center, avoid=frozenset(self.avoid))
+        return SlotRequest(capacity=room, data_center=self.data_center, avoid=frozenset(self.avoid))
 
 
 @PEER.message("ct")
@@ -71,11 +71,11 @@
     detail: str = ""
 
     @classmethod
-    def of(cls, number: int, service: str, outcome: RoomOutcome, *, work_s: float) -> PlaceTold:
+    def of(cls, number: int, service: str, outcome: CapacityOutcome, *, work_s: float) -> PlaceTold:
         """Give the message that tells an outcome."""
-        if isinstance(outcome, RoomGiven):
+        if isinstance(outcome, CapacityGranted):
             return cls(number=number, service=service, work_s=work_s, target=outcome.target)
-        if isinstance(outcome, WaitInLine):
+        if isinstance(outcome, QueuedForCapacity):
             return cls(
                 number=number,
                 service=service,
@@ -92,13 +92,13 @@
         )
 
     @property
-    def outcome(self) -> RoomOutcome:
+    def outcome(self) -> CapacityOutcome:
         """What was decided."""
         if self.target is not None:
-            return RoomGiven(target=self.target)
+            return CapacityGranted(target=self.target)
         if self.retry_after_s is not None:
-            return RefusedWithReturn(detail=self.detail, retry_after_s=self.retry_after_s)
-        return WaitInLine(seconds=self.wait_s or 0.0, ahead=self.ahead)
+            return RejectedWithRetryAfter(detail=self.detail, retry_after_s=self.retry_after_s)
+        return QueuedForCapacity(seconds=self.wait_s or 0.0, ahead=self.ahead)
 
 
 @PEER.message("ce")
@@ -113,5 +113,5 @@
     end: CallEnd = CallEnd.UNUSED
     seconds: float = 0.0
     """At the runner."""
-    load: ToldLoad | None = None
+    load: ReportedLoad | None = None
     """The runner's own word."""
--- a/lagoonlever/peers/messages_crashes.py
+++ b/lagoonlever/peers/messages_crashes.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from lagoonlever.decisions.engines.crash_ends import End, Ends
+from lagoonlever.decisions.engines.target_crashes import Crash, CrashesByRequest
 from lagoonlever.peers.messages import PEER
 
 
@@ -35,10 +35,10 @@
     fingerprint: str
 
 
-def read_ends(message: TargetsEnded, now: float) -> Ends:
+def read_ends(message: TargetsEnded, now: float) -> CrashesByRequest:
     """Give what a message tells, in seconds of the receiver's clock."""
-    ends: dict[str, dict[str, End]] = {}
+    ends: dict[str, dict[str, Crash]] = {}
     for told in message.ends:
-        end = End.told(at=now - max(0.0, told.age_s), weight=told.weight)
+        end = Crash.from_report(at=now - max(0.0, told.age_s), weight=told.weight)
         ends.setdefault(told.fingerprint, {})[told.process] = end
     return ends
--- a/lagoonlever/tests/gateway_presence_tests.py
+++ b/lagoonlever/tests/gateway_presence_tests.py
@@ -301,7 +301,7 @@
         for number in range(2 * len(PLACES))
     ]
     for vm in fleet.vms.values():
-        vm.beliefs.targets.read(listed, revision=at(1), now=0.0, store_back_at=None)
+        vm.beliefs.targets.apply_list(listed, revision=at(1), now=0.0, store_back_at=None)
 
 
 def test_a_lost_engine_is_told_at_once_to_those_with_streams_beside_it() -> None:
@@ -321,7 +321,7 @@
         for vm in fleet.vms.values():
             for name, engine in at.items():
                 run = attrs.evolve(booked(int(name[3:])), vm=name, engine=engine, copy=None)
-                vm.beliefs.book.begin(run, trio.current_time())
+                vm.beliefs.book.record_dispatch(run, trio.current_time())
         change = EngineLost(engine="e1")
         relays["vm-20"].relay.tell(change)
         await trio.sleep(0.001)
@@ -345,7 +345,7 @@
             def failed(change: RunChange, source: str, vm: FleetVm = vm, take=take) -> None:
                 take(change)
                 assert isinstance(change, EngineLost)
-                vm.beliefs.book.avoidance.failed(change.engine, trio.current_time())
+                vm.beliefs.book.avoidance.record_failure(change.engine, trio.current_time())
 
             relays[name].relay._take = failed
         await trio.sleep(0.1)
@@ -404,7 +404,7 @@
         quiet = await digest_bytes_in(fleet, 3.0)
         for _ in range(5):
             for vm in fleet.vms.values():
-                vm.beliefs.targets.seen_up_to(at(vm.beliefs.targets.as_of.number + 1))
+                vm.beliefs.targets.advance_to(at(vm.beliefs.targets.as_of.number + 1))
             await trio.sleep(0.1)
         busy = await digest_bytes_in(fleet, 3.0)
         assert busy < 1.25 * quiet, (quiet, busy)
--- a/lagoonlever/tests/run_placement_tests.py
+++ b/lagoonlever/tests/run_placement_tests.py
@@ -6,9 +6,9 @@
 
 import attrs
 
-from lagoonlever.decisions.admission.prompt_admission import LEAST_PROMPTS
+from lagoonlever.decisions.admission.prompt_admission import MIN_PROMPTS
 from lagoonlever.decisions.admission.retry_window import RetryWindow
-from lagoonlever.decisions.engines.engine_book import EngineBook
+from lagoonlever.decisions.engines.engine_scheduler import EngineScheduler
 from lagoonlever.decisions.settings.configuration import EngineLimits
 from lagoonlever.decisions.streams.engine_runs import EngineRun
 from lagoonlever.decisions.streams.run_placement import (
@@ -46,9 +46,9 @@
 def view(*listed: ListedTarget) -> PlacementContext:
     targets = TargetRegistry()
     listed = listed or (engine("e1", "a"), engine("e2", "b"), engine("e3", "c"))
-    targets.read(listed, revision=at(1), now=0.0, store_back_at=None)
+    targets.apply_list(listed, revision=at(1), now=0.0, store_back_at=None)
     return PlacementContext(
-        book=EngineBook(rng=random.Random(1), data_center="a"),
+        book=EngineScheduler(rng=random.Random(1), data_center="a"),
         window=RetryWindow(ratio=0.8, window_s=10.0, slack=5.0),
         targets=targets,
         limits=LIMITS,
@@ -87,7 +87,7 @@
         )
         context.book.reserve(run, 0.0)
     for name in ("e2", "e3"):
-        context.book.begin(
+        context.book.record_dispatch(
             sent_run(attrs.evolve(REQUEST, request=f"s-{name}"), Placed(engine=name)), 0.1
         )
     context.book.expire(RESERVATION_S + 0.1)
@@ -104,23 +104,23 @@
     book = view().book
     placed = Placed(engine="e1")
     book.reserve(reserved_run(REQUEST, placed, vm="vm-1"), 0.0)
-    assert not book.knows("r1")
+    assert not book.is_dispatched("r1")
     assert book.open_runs == ()
-    assert book.last_run_of("p1") is None
-    book.begin(sent_run(REQUEST, placed), 0.01)
-    assert book.knows("r1")
+    assert book.find_unfinished_run("p1") is None
+    book.record_dispatch(sent_run(REQUEST, placed), 0.01)
+    assert book.is_dispatched("r1")
     book.reserve(reserved_run(REQUEST, Placed(engine="e2"), vm="vm-1"), 0.5)
-    assert book.knows("r1")
+    assert book.is_dispatched("r1")
 
 
 def test_a_run_does_not_share_its_prefill_with_its_own_reservation() -> None:
     """A prefill beside another prompt is no measurement; its own reservation is no other prompt."""
     book = view().book
-    before = book.paces.reading_s("engines", "e1", 5_000, 1.0)
+    before = book.timings.prefill_s("engines", "e1", 5_000, 1.0)
     book.reserve(reserved_run(REQUEST, Placed(engine="e1"), vm="vm-1"), 0.0)
-    book.begin(sent_run(REQUEST, Placed(engine="e1")), 0.0)
-    book.flows("r1", 3.0)
-    assert book.paces.reading_s("engines", "e1", 5_000, 3.0) > before
+    book.record_dispatch(sent_run(REQUEST, Placed(engine="e1")), 0.0)
+    book.record_first_event("r1", 3.0)
+    assert book.timings.prefill_s("engines", "e1", 5_000, 3.0) > before
 
 
 def test_a_retry_beyond_the_budget_waits() -> None:
@@ -128,7 +128,7 @@
     retry = attrs.evolve(REQUEST, repeat=True)
     assert isinstance(place_run(retry, context, 0.0), Placed)
     for _ in range(5):
-        context.window.repeat(0.0)
+        context.window.record_retry(0.0)
     assert isinstance(place_run(retry, context, 0.0), RetryBudgetExhausted)
     assert isinstance(place_run(REQUEST, context, 0.0), Placed)
 
@@ -145,7 +145,7 @@
     small_engines = attrs.evolve(LIMITS, memory_tokens=6_500)
     equal_ranks = attrs.evolve(view(), limits=small_engines)
     for gone in ("e8", "e9"):
-        equal_ranks.book.avoidance.failed(gone, 0.0)
+        equal_ranks.book.avoidance.record_failure(gone, 0.0)
     request = attrs.evolve(REQUEST, settled="e1", attempt=False)
     outcome = place_run(request, equal_ranks, 0.0)
     assert isinstance(outcome, Placed) and outcome.copy_to is None
@@ -163,7 +163,7 @@
 
 def test_a_run_is_not_resumed_from_a_copy_whose_holder_was_lost() -> None:
     context = view()
-    context.book.avoidance.failed("e2", 0.0)
+    context.book.avoidance.record_failure("e2", 0.0)
     assert place_run(attrs.evolve(REQUEST, settled="e2", repeat=True), context, 0.1) == NoEngine()
 
 
@@ -176,11 +176,13 @@
     """Engines prefill without a pause; a stream that has started must continue nevertheless."""
     context = view(engine("e1", "a"))
     book = context.book
-    for number in range(4 * LEAST_PROMPTS):
+    for number in range(4 * MIN_PROMPTS):
         request = attrs.evolve(REQUEST, request=f"r-{number}", part=None)
-        book.begin(sent_run(request, Placed(engine="e1")), 0.1 * number)
-        book.flows(request.request, 0.1 * number + 1.0)
-        book.end(request.request, 0.1 * number + 2.0, whole=True, token_s=0.004, tokens=1_000)
-    now = 0.1 * 4 * LEAST_PROMPTS
+        book.record_dispatch(sent_run(request, Placed(engine="e1")), 0.1 * number)
+        book.record_first_event(request.request, 0.1 * number + 1.0)
+        book.record_end(
+            request.request, 0.1 * number + 2.0, whole=True, token_s=0.004, tokens=1_000
+        )
+    now = 0.1 * 4 * MIN_PROMPTS
     assert isinstance(place_run(attrs.evolve(REQUEST, allowed_s=25.0), context, now), Overloaded)
     assert isinstance(place_run(REQUEST, context, now), Placed)
--- a/lagoonlever/tests/target_words_tests.py
+++ b/lagoonlever/tests/target_words_tests.py
@@ -5,7 +5,7 @@
 import pytest
 import trio
 
-from lagoonlever.decisions.targets.rests import RestingTargets
+from lagoonlever.decisions.targets.rests import BackoffTargets
 from lagoonlever.fakes.platform_engine import EngineConduct
 from lagoonlever.fakes.platform_runner import Conduct
 from lagoonlever.gateway.prober import EngineProber
@@ -43,7 +43,7 @@
     async def story(site: GatewaySite) -> None:
         await site.wait_met()
         site.runners["runner-0"].says.leaving = "1"
-        while not site.vms["vm-0"].daemon.parts.beliefs.targets.said_leaving:
+        while not site.vms["vm-0"].daemon.parts.beliefs.targets.leave_announcements:
             await site.call("/bid/1")
         newcomer = await site.start_vm("vm-2")
         await site.wait_ready(newcomer)
@@ -223,21 +223,21 @@
 
 
 def test_a_shorter_rest_does_not_end_a_longer_one() -> None:
-    rests = RestingTargets()
-    rests.asked("t", 3.0, 10.0)
-    rests.asked("t", 1.0, 10.5)
-    assert rests.left_s("t", 12.0) == 1.0
-    rests.asked("t", 4.0, 12.0)
-    assert rests.left_s("t", 13.0) == 3.0
+    rests = BackoffTargets()
+    rests.record("t", 3.0, 10.0)
+    rests.record("t", 1.0, 10.5)
+    assert rests.remaining_s("t", 12.0) == 1.0
+    rests.record("t", 4.0, 12.0)
+    assert rests.remaining_s("t", 13.0) == 3.0
     rests.expire(17.0)
-    assert rests.left_s("t", 12.0) == 0.0
+    assert rests.remaining_s("t", 12.0) == 0.0
 
 
 def test_a_process_that_has_the_id_of_a_resting_target_has_asked_for_none() -> None:
-    rests = RestingTargets()
-    rests.asked("t", 3.0, 10.0)
+    rests = BackoffTargets()
+    rests.record("t", 3.0, 10.0)
     rests.forget("t")
-    assert rests.left_s("t", 10.0) == 0.0
+    assert rests.remaining_s("t", 10.0) == 0.0
 
 
 def test_retry_after_counts_only_on_a_503() -> None:
