--- a/lagoonlever/bench/stream_day_model.py
+++ b/lagoonlever/bench/stream_day_model.py
@@ -237,7 +237,7 @@
             now=now,
             avoid=step.avoid,
             prefer=step.prefer,
-            crowd=step.after_loss or stream.returned,
+            add_jitter=step.after_loss or stream.returned,
         )
         engine = self._engines.get(placement.engine.id) if placement else None
         if placement is None:
@@ -286,7 +286,7 @@
         holder = self._book.choose_copy_holder(
             self._listed.values(),
             limits=self._limits,
-            beside=self._listed.get(engine.id) or _unlisted(engine),
+            run_engine=self._listed.get(engine.id) or _unlisted(engine),
             memory_tokens=stream.most_memory,
             now=now,
         )
--- a/lagoonlever/decisions/engines/crash_suspects.py
+++ b/lagoonlever/decisions/engines/crash_suspects.py
@@ -151,7 +151,7 @@
         )
 
     def find_cleared_here(self, crashes: CrashesByRequest) -> frozenset[str]:
-        """Return those of the requests in ``cleared`` that this VM has answered."""
+        """Return those of the requests in ``find_cleared`` that this VM has answered."""
         return frozenset(
             fingerprint
             for fingerprint, processes in crashes.items()
@@ -197,8 +197,10 @@
         if fingerprint not in self._blocked:
             return None
         processes = self._crashes[fingerprint]
-        for_s = _last_crash_at(processes) + BLOCK_S - now
-        return Block(crash_count=len(processes), remaining_s=for_s) if for_s > 0 else None
+        remaining_s = _last_crash_at(processes) + BLOCK_S - now
+        return (
+            Block(crash_count=len(processes), remaining_s=remaining_s) if remaining_s > 0 else None
+        )
 
     def expire(self, now: float) -> None:
         """Remove requests without a crash for ``RETENTION_S``, and answers that are too old."""
--- a/lagoonlever/decisions/engines/engine_scheduler.py
+++ b/lagoonlever/decisions/engines/engine_scheduler.py
@@ -47,10 +47,10 @@
 """Share of an engine's memory up to which it accepts KV-cache copies.
 
 An engine that is full of runs and copies preempts its newest run, whose prefill is then repeated,
-and has no capacity for the runs of the next crash. By `lagoonlever bench stream-day`, 24 days, at
-twelve engines 95.1% of streams are on time, against 93.2% with copies wherever they fit and 93.5%
-at 0.6; the prompt tokens of repeated prefills are 342 per stream, against 376 and 388. At seven
-engines, and on slow ones, the result is the same as with copies wherever they fit.
+and has no capacity for the runs of the next crash. In simulation, over 24 days at twelve engines,
+95.1% of streams are on time, against 93.2% with copies wherever they fit and 93.5% at 0.6; the
+prompt tokens of repeated prefills are 342 per stream, against 376 and 388. At seven engines, and
+on slow ones, the result is the same as with copies wherever they fit.
 """
 INITIAL_DECODE_S = 5.0
 """Decode time of a usual answer, until the first answers have ended."""
@@ -138,15 +138,15 @@
         now: float,
         avoid: frozenset[str] = frozenset(),
         prefer: str | None = None,
-        crowd: bool = False,
+        add_jitter: bool = False,
         begins_within_s: float | None = None,
     ) -> Placement | None:
         """Choose the engine with the lowest cost for a run, or None if there is none.
 
         ``prefer`` is an engine that has the prompt cached, so its prefill costs nothing there.
-        ``crowd`` adds jitter, as after a loss many VMs choose before they hear of each other.
-        With ``begins_within_s`` only engines count that have capacity, and whose prefill backlog
-        takes no longer.
+        ``add_jitter`` spreads the costs at random, as after a loss many VMs choose before they
+        hear of each other. With ``begins_within_s`` only engines count that have capacity, and
+        whose prefill backlog takes no longer.
         """
         usable = [engine for engine in engines if engine.id not in avoid]
         healthy = [engine for engine in usable if not self.avoidance.is_avoided(engine.id, now)]
@@ -170,7 +170,7 @@
         costs: dict[str, float] = {}
         for engine in candidates:
             own_s = self._uneven.prefill_s(engine.service, engine.id, prompt_tokens, now)
-            jitter_s = self._jitter(engine, crowd=crowd) * self.timings.usual_prefill_s(
+            jitter_s = self._jitter(engine, add_jitter=add_jitter) * self.timings.usual_prefill_s(
                 engine.service
             )
             costs[engine.id] = self._scaled_cost_s(engine, loads, limits, memory_tokens, now)
@@ -196,7 +196,7 @@
         engines: Iterable[ListedTarget],
         *,
         limits: EngineLimits,
-        beside: ListedTarget,
+        run_engine: ListedTarget,
         memory_tokens: int,
         now: float,
         avoid: frozenset[str] = frozenset(),
@@ -205,21 +205,23 @@
         """Choose the engine that holds the copy of a run, in another data centre if there is one.
 
         Engines of a data centre fail together, so a copy near its run would be lost with it.
-        ``beside`` is the engine of the run. With ``by_losses`` the share of memory for copies
+        ``run_engine`` is the engine of the run. With ``by_losses`` the share of memory for copies
         depends on how many engines were lost recently.
         """
         others = [
             engine
             for engine in engines
-            if engine.id != beside.id
+            if engine.id != run_engine.id
             and engine.id not in avoid
             and not self.avoidance.is_avoided(engine.id, now)
         ]
-        remote = [engine for engine in others if engine.data_center != beside.data_center]
+        remote = [engine for engine in others if engine.data_center != run_engine.data_center]
         loads = self._compute_loads(now)
         max_share = self._max_copies_share
         if by_losses:
-            max_share = self._max_share_by_losses(beside.service, engines=len(others) + 1, now=now)
+            max_share = self._max_share_by_losses(
+                run_engine.service, engines=len(others) + 1, now=now
+            )
         need_tokens = memory_tokens + round(limits.memory_tokens * (1.0 - max_share))
         costs = {e.id: self._cost_s(e, loads, limits, need_tokens) for e in remote or others}
         with_capacity = [
@@ -505,12 +507,12 @@
         relative_time = self._uneven.relative_time(engine.service, engine.id, now)
         return self._cost_s(engine, loads, limits, need_tokens, relative_time=relative_time)
 
-    def _jitter(self, engine: ListedTarget, *, crowd: bool) -> float:
+    def _jitter(self, engine: ListedTarget, *, add_jitter: bool) -> float:
         """Return the random spread of an engine's cost, in usual prefills.
 
         It keeps VMs apart that see the same engine as the best.
         """
-        if crowd:
+        if add_jitter:
             return RESUME_JITTER
         return UNEVEN_JITTER if self._uneven.uses_own_timings(engine.id) else 0.0
 
--- a/lagoonlever/decisions/engines/engine_timings.py
+++ b/lagoonlever/decisions/engines/engine_timings.py
@@ -40,8 +40,9 @@
 SLOW_ENGINE_RATIO = 1.5
 """An engine that takes this many times as long as its service counts as slow.
 
-Smaller differences don't influence placement: using each engine's own figures for all engines
-brought no gain (worth 0.746 and 0.744 on three days each way, where chance moves a day by 0.02).
+Smaller differences don't influence placement: in simulation, using each engine's own figures for
+all engines brought no gain (worth 0.746 and 0.744 on three days each way, where chance moves a day
+by 0.02).
 """
 STORED_CHANGE_RATIO = 1.3
 """Stored figures are replaced only by ones that differ by more than this ratio.
--- a/lagoonlever/decisions/engines/recent_timings.py
+++ b/lagoonlever/decisions/engines/recent_timings.py
@@ -14,6 +14,7 @@
 import attrs
 
 MAX_SAMPLES = 5
+"""Number of the last prefills, and of the last answers, whose timings are kept."""
 FRESH_S = 60.0
 """Age up to which a run counts for its engine's speed.
 
--- a/lagoonlever/decisions/engines/robust_estimate.py
+++ b/lagoonlever/decisions/engines/robust_estimate.py
@@ -13,7 +13,7 @@
 NEWEST_WEIGHT = 0.2
 """Weight of the newest observation: five that agree make up most of a change."""
 MAX_RATIO = 2.0
-"""An observation is clamped to the estimate times and divided by this ratio.
+"""Observations are clamped to between the estimate divided by this ratio and multiplied by it.
 
 So an outlier moves the estimate by a fifth at most.
 """
--- a/lagoonlever/decisions/engines/suspect_placement.py
+++ b/lagoonlever/decisions/engines/suspect_placement.py
@@ -14,13 +14,13 @@
 
 
 def choose_suspect_engine(
-    fingerprint: str, processes: Mapping[str, str], *, ended: Container[str]
+    fingerprint: str, processes: Mapping[str, str], *, crashed: Container[str]
 ) -> str | None:
     """Return the engine for all attempts of a request, or None if there is none.
 
-    ``processes`` maps each engine that serves the request to the name of its process; ``ended``
+    ``processes`` maps each engine that serves the request to the name of its process; ``crashed``
     has the processes that have crashed under the request. VMs that agree on both choose the same
     engine, by rendezvous hashing.
     """
-    names = [engine for engine, process in processes.items() if process not in ended]
+    names = [engine for engine, process in processes.items() if process not in crashed]
     return next(iter(rank_by_hash(names, purpose=f"suspect|{fingerprint}")), None)
--- a/lagoonlever/decisions/streams/run_placement.py
+++ b/lagoonlever/decisions/streams/run_placement.py
@@ -168,7 +168,7 @@
         now=now,
         avoid=frozenset(ask.avoid),
         prefer=ask.prefer,
-        crowd=ask.crowd,
+        add_jitter=ask.crowd,
         begins_within_s=begins_within_s,
     )
     if placement is None:
@@ -194,7 +194,7 @@
     holder = view.book.choose_copy_holder(
         view.targets.serving(ask.service),
         limits=view.limits,
-        beside=engine,
+        run_engine=engine,
         memory_tokens=ask.memory_tokens,
         now=now,
         by_losses=view.ranked,
--- a/lagoonlever/entry/engines/crashes.py
+++ b/lagoonlever/entry/engines/crashes.py
@@ -101,7 +101,7 @@
             return None
         processes = {engine.name: process_name(engine.name, None) for engine in engines}
         return choose_suspect_engine(
-            fingerprint, processes, ended=self._suspects.crashes[fingerprint]
+            fingerprint, processes, crashed=self._suspects.crashes[fingerprint]
         )
 
     async def look(self, spec: GenerationSpec, target: Target, *, sent_at: float) -> None:
--- a/lagoonlever/gateway/crash_watch.py
+++ b/lagoonlever/gateway/crash_watch.py
@@ -142,7 +142,7 @@
             for engine in self._beliefs.targets.serving(accepted.service)
             if engine.id not in avoid and not avoidance.is_avoided(engine.id, now)
         }
-        return choose_suspect_engine(fingerprint, able, ended=self._suspects.crashes[fingerprint])
+        return choose_suspect_engine(fingerprint, able, crashed=self._suspects.crashes[fingerprint])
 
     @contextlib.contextmanager
     def until_barred(self, accepted: Accepted, *, leaves: str | None = None) -> Iterator[None]:
--- a/lagoonlever/tests/copy_room_tests.py
+++ b/lagoonlever/tests/copy_room_tests.py
@@ -56,7 +56,7 @@
     return scheduler.choose_copy_holder(
         listed,
         limits=LIMITS,
-        beside=listed[0],
+        run_engine=listed[0],
         memory_tokens=MEMORY,
         now=AFTER_CRASH_S,
         by_losses=by_losses,
--- a/lagoonlever/tests/engine_book_tests.py
+++ b/lagoonlever/tests/engine_book_tests.py
@@ -99,7 +99,7 @@
     listed = [engine("e1", "a"), engine("e1b", "a"), engine("e2", "b")]
     scheduler.record_dispatch(run("r1", "e2"), 0.0)
     holder = scheduler.choose_copy_holder(
-        listed, limits=LIMITS, beside=listed[0], memory_tokens=MEMORY, now=0.0
+        listed, limits=LIMITS, run_engine=listed[0], memory_tokens=MEMORY, now=0.0
     )
     assert holder is not None and holder.id == "e2"
 
--- a/lagoonlever/tests/suspect_gathering_tests.py
+++ b/lagoonlever/tests/suspect_gathering_tests.py
@@ -25,32 +25,32 @@
 
 def test_the_choice_does_not_depend_on_the_order_of_the_list() -> None:
     backward = dict(reversed(PROCESSES.items()))
-    assert choose_suspect_engine("f", backward, ended=()) == choose_suspect_engine(
-        "f", PROCESSES, ended=()
+    assert choose_suspect_engine("f", backward, crashed=()) == choose_suspect_engine(
+        "f", PROCESSES, crashed=()
     )
 
 
 def test_an_engine_that_only_one_vm_knows_changes_the_choice_to_itself_at_most() -> None:
     """Guards against lists that differ for a moment and send each attempt elsewhere."""
-    found = choose_suspect_engine("f", PROCESSES, ended=())
+    found = choose_suspect_engine("f", PROCESSES, crashed=())
     for number in range(50):
         newcomer = f"new-{number}"
         wider = {**PROCESSES, newcomer: process_name(newcomer, 1)}
-        assert choose_suspect_engine("f", wider, ended=()) in (found, newcomer)
+        assert choose_suspect_engine("f", wider, crashed=()) in (found, newcomer)
 
 
 def test_suspected_requests_are_spread_over_all_engines() -> None:
-    found = {choose_suspect_engine(f"f-{number}", PROCESSES, ended=()) for number in range(100)}
+    found = {choose_suspect_engine(f"f-{number}", PROCESSES, crashed=()) for number in range(100)}
     assert found == set(NAMES)
 
 
 def test_a_process_that_has_crashed_under_the_request_is_not_chosen() -> None:
     """Guards against VMs whose list still has the process of the last crash."""
-    found = choose_suspect_engine("f", PROCESSES, ended=())
+    found = choose_suspect_engine("f", PROCESSES, crashed=())
     assert found is not None
-    assert choose_suspect_engine("f", PROCESSES, ended={process_name(found, 1)}) != found
-    assert choose_suspect_engine("f", PROCESSES, ended={process_name(found, 0)}) == found
-    assert choose_suspect_engine("f", PROCESSES, ended=set(PROCESSES.values())) is None
+    assert choose_suspect_engine("f", PROCESSES, crashed={process_name(found, 1)}) != found
+    assert choose_suspect_engine("f", PROCESSES, crashed={process_name(found, 0)}) == found
+    assert choose_suspect_engine("f", PROCESSES, crashed=set(PROCESSES.values())) is None
 
 
 def test_a_request_goes_to_one_engine_between_its_second_and_third_crash() -> None:
