--- a/lagoonlever/tests/copy_room_tests.py
+++ b/lagoonlever/tests/copy_room_tests.py
@@ -93,14 +93,12 @@
 
 
 @pytest.mark.parametrize(
-    ("losses", "max_share"), [(0, MAX_COPIES_SHARE), (1, MAX_COPIES_SHARE), (11, WHOLE_MEMORY)]
+    ("losses", "most"), [(0, MAX_COPIES_SHARE), (1, MAX_COPIES_SHARE), (11, WHOLE_MEMORY)]
 )
-def test_a_single_lost_engine_does_not_raise_the_share_for_copies(
-    losses: int, max_share: float
-) -> None:
+def test_a_single_lost_engine_does_not_raise_the_share_for_copies(losses: int, most: float) -> None:
     """Guards against a single faulty engine that changes the share at all engines."""
     risk = loss_probability(losses, engines=45, window_s=LOSSES_WINDOW_S, run_s=6.0)
-    assert max_copies_share(risk, usual=MAX_COPIES_SHARE) == max_share
+    assert max_copies_share(risk, usual=MAX_COPIES_SHARE) == most
 
 
 def test_losses_expire_after_their_window() -> None:
--- a/lagoonlever/tests/engine_reports_tests.py
+++ b/lagoonlever/tests/engine_reports_tests.py
@@ -29,10 +29,10 @@
     assert not report.leaves
 
 
-@pytest.mark.parametrize("invalid", ["null", '"soon"', "-1", "true", "{}"])
-def test_invalid_values_do_not_invalidate_a_report(invalid: str) -> None:
+@pytest.mark.parametrize("odd", ["null", '"soon"', "-1", "true", "{}"])
+def test_invalid_values_do_not_invalidate_a_report(odd: str) -> None:
     """Guards against an engine taken for lost because its report could not be parsed."""
-    report = parse_report(f'{{"leaves_ms": {invalid}, "Next": {invalid}, "Queued": 2}}'.encode())
+    report = parse_report(f'{{"leaves_ms": {odd}, "Next": {odd}, "Queued": 2}}'.encode())
     assert report.leaves_in_s is None and report.first_waiting is None
     assert report.waiting == 2
 
