--- a/lagoonlever/decisions/targets/listing.py
+++ b/lagoonlever/decisions/targets/listing.py
@@ -131,7 +131,7 @@
         for item in evidence:
             incarnation = TargetIncarnation(item.name, item.address)
             leaving_at = now - max(0.0, item.age_s)
-            if self._is_outlived(leaving_at):
+            if self._is_superseded(leaving_at):
                 continue
             if incarnation not in self._leaving_at:
                 updates.append(item)
@@ -160,8 +160,8 @@
             )
         return tuple(updates)
 
-    def _is_outlived(self, leaving_at: float) -> bool:
-        """Check whether evidence has been outlived by a list that was read ``hold_s`` later.
+    def _is_superseded(self, leaving_at: float) -> bool:
+        """Check whether evidence is superseded by a list that was read ``hold_s`` later.
 
         Guards against a list that lags, or a replica of it that lags more than another. Without
         it a target that is read as leaving, and then as live in an older copy, would get new work
@@ -171,13 +171,13 @@
         return self._read_at is not None and self._read_at - leaving_at >= self._hold_s
 
     def _forget(self, now: float) -> None:
-        """Remove targets that are absent for long, and evidence that has been outlived."""
+        """Remove targets absent for ``forget_s`` or longer, and evidence that is superseded."""
         for name, since in list(self._absent_since.items()):
             if now - since < self._forget_s:
                 continue
             del self._absent_since[name]
             del self._listed[name]
         for incarnation, leaving_at in list(self._leaving_at.items()):
-            if self._is_outlived(leaving_at):
+            if self._is_superseded(leaving_at):
                 del self._leaving_at[incarnation]
                 self._sent_at.pop(incarnation, None)
--- a/lagoonlever/decisions/targets/registry.py
+++ b/lagoonlever/decisions/targets/registry.py
@@ -194,7 +194,7 @@
         )
 
     def _is_available(self, target: ListedTarget) -> bool:
-        """Check whether a target takes work, its version left aside."""
+        """Check whether a target takes work, without regard to its version."""
         return not self._is_leaving(target) and target.id not in self._unconfirmed_until
 
     def _is_leaving(self, target: ListedTarget) -> bool:
@@ -426,9 +426,9 @@
         return may_be_restored(entry.revision, known=known.revision)
 
     def _mark_unconfirmed(self, target: ListedTarget, now: float) -> None:
-        """Give no work to a target that was gone and is listed by an entry of an older copy.
+        """Mark a target as unconfirmed if it was gone and an entry of an older copy lists it.
 
-        The entry lapses within ``lapse_s`` unless the target lives and renews it.
+        It gets no work for ``lapse_s``, within which the entry lapses unless the target lives.
         """
         gone = self._removed.get(target.id)
         self._unconfirmed_until.pop(target.id, None)
--- a/lagoonlever/decisions/targets/watch.py
+++ b/lagoonlever/decisions/targets/watch.py
@@ -1,8 +1,8 @@
 """One VM's knowledge of the list of targets: messages and times in, messages to send out.
 
-It combines the listing, by which targets leave, and the freshness, by which the listing may be
-used. It has no socket and no clock: its caller passes the time and sends the messages that are
-returned.
+It combines the listing, which says which targets leave, and the freshness, which says whether the
+listing may be used. It has no socket and no clock: its caller passes the time and sends the
+messages that are returned.
 """
 
 from __future__ import annotations
