--- a/lagoonlever/decisions/targets/load_estimate.py
+++ b/lagoonlever/decisions/targets/load_estimate.py
@@ -17,7 +17,7 @@
     """There is no report: only the requests that this VM has sent are counted."""
     ANSWER = "answer"
     """The target reported its load in an answer to this VM."""
-    NEWS = "news"
+    RELAYED = "news"
     """Another VM passed the target's load report on."""
 
 
--- a/lagoonlever/decisions/targets/load_view.py
+++ b/lagoonlever/decisions/targets/load_view.py
@@ -123,7 +123,7 @@
 
     def record_relayed_report(self, report: LoadReport) -> bool:
         """Record a load report that another VM passed on; return whether it is used."""
-        return self._record(report, LoadSource.NEWS, asked_at=report.at)
+        return self._record(report, LoadSource.RELAYED, asked_at=report.at)
 
     def record_sent(self, target: str, now: float) -> SentTicket:
         """Record that a request is sent to a target; return the ticket to record its end by."""
--- a/lagoonlever/tests/load_view_tests.py
+++ b/lagoonlever/tests/load_view_tests.py
@@ -92,7 +92,7 @@
     assert not loads.record_relayed_report(report(running=0, at=0.5, slowness=2.5))
     assert loads.estimate("t", 1.0).running == 4
     assert loads.record_relayed_report(report(running=2, at=1.5))
-    assert loads.estimate("t", 1.6).source is LoadSource.NEWS
+    assert loads.estimate("t", 1.6).source is LoadSource.RELAYED
     assert not loads.reports_slowness("t")
 
 
--- a/lagoonlever/tests/load_words_tests.py
+++ b/lagoonlever/tests/load_words_tests.py
@@ -95,7 +95,7 @@
         views = [beliefs_of(site, vm).loads for vm in site.vms]
         await until_within(2.0, lambda: all(view.latest_report("engine-0") for view in views))
         sources = {estimate(site, "engine-0", vm).source for vm in site.vms}
-        assert sources == {LoadSource.ANSWER, LoadSource.NEWS}
+        assert sources == {LoadSource.ANSWER, LoadSource.RELAYED}
         assert all(view.reports_slowness("engine-0") for view in views)
 
     run_site(story, engines=1, runners=0, vms=2)
--- a/lagoonlever/tests/uneven_engines_tests.py
+++ b/lagoonlever/tests/uneven_engines_tests.py
@@ -304,7 +304,7 @@
     taken, other = placement.choice.taken, placement.choice.passed_over
     assert (taken.engine, other.engine) == ("e2", "e1")
     assert taken.pace < other.pace and taken.slowness > other.slowness == 1.0
-    assert (other.age_s, other.source) == (pytest.approx(0.3), LoadSource.NEWS)
+    assert (other.age_s, other.source) == (pytest.approx(0.3), LoadSource.RELAYED)
 
 
 def test_a_choice_that_equal_engines_would_give_too_has_no_snapshots() -> None:
--- a/lagoonlever/tests/uneven_placing_tests.py
+++ b/lagoonlever/tests/uneven_placing_tests.py
@@ -44,7 +44,7 @@
 
 
 def test_a_hub_s_answer_carries_the_reasons_of_its_choice() -> None:
-    seen = EngineSnapshot(engine="e", pace=0.7, slowness=1.0, age_s=0.1, source=LoadSource.NEWS)
+    seen = EngineSnapshot(engine="e", pace=0.7, slowness=1.0, age_s=0.1, source=LoadSource.RELAYED)
     choice = UnevenChoice(taken=seen, passed_over=seen)
     told = PlacementTold.of(1, Placed(engine="e", choice=choice), None)
     assert PEER.decode(PEER.encode(told)) == told
