--- a/lagoonlever/decisions/targets/replacements.py
+++ b/lagoonlever/decisions/targets/replacements.py
@@ -36,7 +36,7 @@
 
 
 @attrs.define(kw_only=True)
-class LifeSigns:
+class LivenessSigns:
     """The last time at which a target was certainly alive.
 
     Times are seconds of a clock that goes on while the VM is suspended. Guards against a VM that
--- a/lagoonlever/gateway/stream_attempt.py
+++ b/lagoonlever/gateway/stream_attempt.py
@@ -21,7 +21,7 @@
 )
 from lagoonlever.decisions.streams.silence import Lost as SilenceLost
 from lagoonlever.decisions.targets.limit_permits import Denied
-from lagoonlever.decisions.targets.replacements import LifeSigns
+from lagoonlever.decisions.targets.replacements import LivenessSigns
 from lagoonlever.exceptions import BadResponse, ConnectionBroken
 from lagoonlever.gateway import events, metrics
 from lagoonlever.gateway.accepted import Accepted
@@ -84,7 +84,7 @@
     _answered: bool = False
     """The head of the engine's answer has come, so the engine has begun to run it."""
     _flowing: bool = False
-    _signs: LifeSigns = attrs.field(factory=LifeSigns)
+    _signs: LivenessSigns = attrs.field(factory=LivenessSigns)
     _copies: CopyKeeper = attrs.field(init=False)
     _counts: StreamCounts = attrs.field(init=False)
 
--- a/lagoonlever/tests/replacements_tests.py
+++ b/lagoonlever/tests/replacements_tests.py
@@ -10,7 +10,7 @@
     DELAY_MARGIN_S,
     MIN_WAIT_S,
     UNLISTED_LIFETIME_S,
-    LifeSigns,
+    LivenessSigns,
     is_same_service,
 )
 from lagoonlever.http.messages import Address
@@ -44,7 +44,7 @@
 
 
 def test_a_sign_of_life_is_dated_by_the_last_moment_with_nothing_to_read() -> None:
-    signs = LifeSigns()
+    signs = LivenessSigns()
     signs.record_wait(1.0, nothing_there=True)
     signs.record_arrival(1.3)
     assert signs.alive_at == 1.0
@@ -56,7 +56,7 @@
     The VM resumes after three seconds and reads events from before its pause. Taken for new, they
     would prove that the address can't have been assigned to another service, though it may be.
     """
-    signs = LifeSigns()
+    signs = LivenessSigns()
     signs.record_wait(4.0, nothing_there=False)
     signs.record_arrival(4.0 + 10 * MIN_WAIT_S)
     assert signs.alive_at is None
