--- a/lagoonlever/bench/target_list.py
+++ b/lagoonlever/bench/target_list.py
@@ -13,7 +13,7 @@
 from lagoonlever.bench.statistics import quantile
 from lagoonlever.decisions.membership.listing import list_read_interval_s
 from lagoonlever.decisions.membership.membership import Member, MemberState, MemberView
-from lagoonlever.decisions.targets.listing import ListedTarget, TargetListReading
+from lagoonlever.decisions.targets.listing import ListEntry, TargetListReading
 from lagoonlever.decisions.targets.targets import TargetKind
 from lagoonlever.decisions.targets.watch import (
     Send,
@@ -127,7 +127,7 @@
     sent_messages: int = 0
     sent_bytes: list[int] = attrs.field(init=False)
     _has_read: set[int] = attrs.field(factory=set)
-    _listed: list[ListedTarget] = attrs.field(init=False)
+    _listed: list[ListEntry] = attrs.field(init=False)
     _knowledge: list[TargetKnowledge] = attrs.field(init=False)
     _reads_at: list[float] = attrs.field(init=False)
     _asks_at: list[float] = attrs.field(init=False)
@@ -139,7 +139,7 @@
         self._reads_at = [self.rng.uniform(0, 1) for _ in range(self.vms)]
         self._asks_at = [self.rng.uniform(0, ASK_PERIOD_S) for _ in range(self.vms)]
         self._listed = [
-            ListedTarget(
+            ListEntry(
                 name=f"engine-{index}",
                 address=Address(host="10.1.0.1", port=index),
                 kind=TargetKind.ENGINE,
--- a/lagoonlever/decisions/membership/listing.py
+++ b/lagoonlever/decisions/membership/listing.py
@@ -14,7 +14,7 @@
 import attrs
 
 from lagoonlever.decisions.membership.protocol import ListedVm
-from lagoonlever.decisions.targets.listing import ListedTarget, TargetListReading
+from lagoonlever.decisions.targets.listing import ListEntry, TargetListReading
 from lagoonlever.decisions.targets.targets import TargetKind
 from lagoonlever.store.port import VmEntry, VmRole, VmState
 
@@ -68,13 +68,13 @@
     )
 
 
-def _listed_targets(vms: Iterable[VmEntry]) -> Iterable[ListedTarget]:
+def _listed_targets(vms: Iterable[VmEntry]) -> Iterable[ListEntry]:
     """Yield the VMs that are targets: engines and application services."""
     for vm in vms:
         kind = _TARGET_KINDS.get(vm.role)
         if kind is None:
             continue
-        yield ListedTarget(
+        yield ListEntry(
             name=vm.name,
             address=vm.address,
             kind=kind,
--- a/lagoonlever/decisions/targets/listing.py
+++ b/lagoonlever/decisions/targets/listing.py
@@ -30,7 +30,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class ListedTarget:
+class ListEntry:
     """One target as the platform's list, or a peer's copy of it, contains it."""
 
     name: str
@@ -53,7 +53,7 @@
 class TargetListReading:
     """A list of targets, read by a call that began at ``read_at`` (monotonic seconds)."""
 
-    targets: tuple[ListedTarget, ...]
+    targets: tuple[ListEntry, ...]
     read_at: float
 
 
@@ -68,7 +68,7 @@
     _repeat_s: float = REPEAT_S
     _forget_s: float = FORGET_S
     _read_at: float | None = None
-    _listed: dict[str, ListedTarget] = attrs.field(factory=dict)
+    _listed: dict[str, ListEntry] = attrs.field(factory=dict)
     _absent_since: dict[str, float] = attrs.field(factory=dict)
     """When a list was first read that lacked a known target."""
     _leaving_at: dict[TargetIncarnation, float] = attrs.field(factory=dict)
--- a/lagoonlever/tests/target_fleet.py
+++ b/lagoonlever/tests/target_fleet.py
@@ -11,7 +11,7 @@
 
 from lagoonlever.decisions.membership.membership import Member, MemberState, MemberView
 from lagoonlever.decisions.targets.freshness import ListFreshness
-from lagoonlever.decisions.targets.listing import HOLD_S, ListedTarget, TargetListing
+from lagoonlever.decisions.targets.listing import HOLD_S, ListEntry, TargetListing
 from lagoonlever.decisions.targets.listing import TargetListReading as Reading
 from lagoonlever.decisions.targets.targets import TargetKind
 from lagoonlever.decisions.targets.watch import (
@@ -64,7 +64,7 @@
     rng: random.Random = attrs.field(factory=lambda: random.Random(7))
     steps: int = 0
     vms: list[Vm] = attrs.field(factory=list)
-    lists: list[tuple[ListedTarget, ...]] = attrs.field(factory=list)
+    lists: list[tuple[ListEntry, ...]] = attrs.field(factory=list)
     delayed: list[tuple[Vm, Vm, object]] = attrs.field(factory=list)
     partitioned_at: float | None = None
     views: dict[tuple[object, ...], MemberView] = attrs.field(factory=dict)
@@ -75,7 +75,7 @@
     def __attrs_post_init__(self) -> None:
         self.lists.append(
             tuple(
-                ListedTarget(name=name, address=target_address(i, 0), kind=TargetKind.ENGINE)
+                ListEntry(name=name, address=target_address(i, 0), kind=TargetKind.ENGINE)
                 for i, name in enumerate(NAMES)
             )
         )
@@ -135,7 +135,7 @@
             TargetListed(at=self.now, process="platform", target=NAMES[index], state=state)
         )
 
-    def current(self, steps_ago: int = 0) -> tuple[ListedTarget, ...]:
+    def current(self, steps_ago: int = 0) -> tuple[ListEntry, ...]:
         return self.lists[min(len(self.lists) - 1, max(0, self.steps - steps_ago))]
 
     def run(self, steps: int) -> None:
