--- a/lagoonlever/entry/services/rests.py
+++ b/lagoonlever/entry/services/rests.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from lagoonlever.decisions.targets.rests import BackoffTargets
+from lagoonlever.decisions.targets.backoffs import BackoffTargets
 from lagoonlever.http.client import Response
 from lagoonlever.outcomes import RETRY_AFTER_HEADER
 from lagoonlever.timers import TimerService
--- a/lagoonlever/gateway/target_words.py
+++ b/lagoonlever/gateway/target_words.py
@@ -13,7 +13,7 @@
 from lagoonlever.decisions.targets.listed_target import ListedTarget
 from lagoonlever.decisions.targets.load_view import SentTicket
 from lagoonlever.decisions.targets.reported_load import LoadReport
-from lagoonlever.decisions.targets.rests import BackoffTargets
+from lagoonlever.decisions.targets.backoffs import BackoffTargets
 from lagoonlever.gateway import events
 from lagoonlever.gateway.beliefs import Beliefs
 from lagoonlever.gateway.hub_spread import HubSpread
--- a/lagoonlever/tests/target_words_tests.py
+++ b/lagoonlever/tests/target_words_tests.py
@@ -5,7 +5,7 @@
 import pytest
 import trio
 
-from lagoonlever.decisions.targets.rests import BackoffTargets
+from lagoonlever.decisions.targets.backoffs import BackoffTargets
 from lagoonlever.fakes.platform_engine import EngineConduct
 from lagoonlever.fakes.platform_runner import Conduct
 from lagoonlever.gateway.prober import EngineProber
