--- a/lagoonlever/gateway/permit_exchange.py
+++ b/lagoonlever/gateway/permit_exchange.py
@@ -20,7 +20,7 @@
     SilentVms,
     limit_coordinators,
 )
-from lagoonlever.decisions.targets.named_limits import LimitReport, ReportedLimits
+from lagoonlever.decisions.targets.reported_limits import LimitReport, ReportedLimits
 from lagoonlever.gateway import events
 from lagoonlever.gateway.beliefs import Beliefs
 from lagoonlever.gateway.questions import Questions
--- a/lagoonlever/gateway/target_limits.py
+++ b/lagoonlever/gateway/target_limits.py
@@ -22,7 +22,7 @@
     PermitOutcome,
 )
 from lagoonlever.decisions.targets.listed_target import ListedTarget
-from lagoonlever.decisions.targets.named_limits import LimitReport, ReportedLimits
+from lagoonlever.decisions.targets.reported_limits import LimitReport, ReportedLimits
 from lagoonlever.gateway import events, metrics
 from lagoonlever.gateway.beliefs import Beliefs
 from lagoonlever.gateway.hub_spread import HubSpread
--- a/lagoonlever/peers/messages_limits.py
+++ b/lagoonlever/peers/messages_limits.py
@@ -9,7 +9,7 @@
 import attrs
 
 from lagoonlever.decisions.targets.limit_permits import Denied, Granted, PermitOutcome
-from lagoonlever.decisions.targets.named_limits import LimitReport
+from lagoonlever.decisions.targets.reported_limits import LimitReport
 from lagoonlever.http.messages import Address
 from lagoonlever.peers.messages import PEER
 
--- a/lagoonlever/tests/limit_permits_tests.py
+++ b/lagoonlever/tests/limit_permits_tests.py
@@ -22,7 +22,7 @@
     limit_coordinators,
     required_permits,
 )
-from lagoonlever.decisions.targets.named_limits import LimitReport, ReportedLimits
+from lagoonlever.decisions.targets.reported_limits import LimitReport, ReportedLimits
 
 MIN_USED = {9: 0.9, 75: 0.8, 195: 0.8, 300: 0.8}
 
--- a/lagoonlever/tests/limits_fleet_tests.py
+++ b/lagoonlever/tests/limits_fleet_tests.py
@@ -13,7 +13,7 @@
 from lagoonlever.decisions.fleet.roles import assign_roles
 from lagoonlever.decisions.targets.limit_permits import MIN_REQUIRED_PERMITS, Granted
 from lagoonlever.decisions.targets.listed_target import ListedTarget, TargetChange
-from lagoonlever.decisions.targets.named_limits import ReportedLimits
+from lagoonlever.decisions.targets.reported_limits import ReportedLimits
 from lagoonlever.gateway.hub_spread import HubSpread
 from lagoonlever.gateway.messages import AnswerHead
 from lagoonlever.gateway.permit_exchange import PermitExchange
