--- a/lagoonlever/gateway/parts.py
+++ b/lagoonlever/gateway/parts.py
@@ -10,8 +10,8 @@
 from lagoonlever.decisions.engines.engine_scheduler import EngineScheduler
 from lagoonlever.decisions.fleet.peer_table import PeerState, PeerTable
 from lagoonlever.decisions.settings.configuration import ClientLimits
-from lagoonlever.decisions.targets.reported_limits import ReportedLimits
 from lagoonlever.decisions.targets.registry import TargetRegistry
+from lagoonlever.decisions.targets.reported_limits import ReportedLimits
 from lagoonlever.gateway.beliefs import Beliefs
 from lagoonlever.gateway.cache_locator import CacheLocator
 from lagoonlever.gateway.call_desk import CallDesk
--- a/lagoonlever/gateway/target_words.py
+++ b/lagoonlever/gateway/target_words.py
@@ -9,11 +9,11 @@
 import logbook
 
 from lagoonlever.decisions.admission.limits import retry_after_pause_s
+from lagoonlever.decisions.targets.backoffs import BackoffTargets
 from lagoonlever.decisions.targets.limit_permits import Denied, Granted, PermitOutcome
 from lagoonlever.decisions.targets.listed_target import ListedTarget
 from lagoonlever.decisions.targets.load_view import SentTicket
 from lagoonlever.decisions.targets.reported_load import LoadReport
-from lagoonlever.decisions.targets.backoffs import BackoffTargets
 from lagoonlever.gateway import events
 from lagoonlever.gateway.beliefs import Beliefs
 from lagoonlever.gateway.hub_spread import HubSpread
