--- a/lagoonlever/decisions/admission/call_queue.py
+++ b/lagoonlever/decisions/admission/call_queue.py
@@ -24,7 +24,7 @@
 )
 from lagoonlever.decisions.admission.runner_slots import MAX_SLOT_HELD_S, GrantedSlot, RunnerSlots
 from lagoonlever.decisions.admission.runners import UNHEALTHY_FAILURE_EXCESS
-from lagoonlever.decisions.targets.told_load import ToldLoad
+from lagoonlever.decisions.targets.reported_load import ReportedLoad
 
 INITIAL_WORK_S = 0.1
 """Work time of a call that is assumed until answers have been measured."""
@@ -231,9 +231,13 @@
         now: float,
         *,
         seconds: float = 0.0,
-        load: ToldLoad | None = None,
+        load: ReportedLoad | None = None,
     ) -> None:
-        """Record the end of an attempt: its time at the runner, and the load report with it."""
+        """Record the end of an attempt, and release its slot.
+
+        ``seconds`` is the work time of an answered attempt at the runner, ``load`` the runner's
+        load report that came with the answer.
+        """
         self.withdraw(request_id)
         known = self._runners.get(runner)
         if known is None:
--- a/lagoonlever/decisions/admission/runner_slots.py
+++ b/lagoonlever/decisions/admission/runner_slots.py
@@ -15,7 +15,7 @@
     MAX_AVOID_S,
     STALLED_AFTER_LOSSES,
 )
-from lagoonlever.decisions.targets.told_load import USUAL, ToldLoad
+from lagoonlever.decisions.targets.reported_load import USUAL_SLOWNESS, ReportedLoad
 
 DEFAULT_SLOTS = 2.0
 """Slots of a runner that has not reported how many it has."""
@@ -53,7 +53,7 @@
     """Slots in use, by the id of the attempt."""
     failure_rate: float = 0.0
     """Moving average of lost answers and of failures of the runner itself, from 0 to 1."""
-    _load: ToldLoad | None = None
+    _load: ReportedLoad | None = None
     _reported_at: float = float("-inf")
     _other_calls: float = 0.0
     """Calls beyond the granted slots, by the runner's last load report."""
@@ -86,9 +86,9 @@
         A reported slowdown fades, as machines are slow for moments only.
         """
         if self._load is None or self._load.slowness is None:
-            return USUAL
+            return USUAL_SLOWNESS
         weight = max(0.0, 1.0 - self.report_age_s(now) / SLOWDOWN_FADE_S)
-        return USUAL + (self._load.slowness - USUAL) * weight
+        return USUAL_SLOWNESS + (self._load.slowness - USUAL_SLOWNESS) * weight
 
     def busy_slots(self, now: float) -> float:
         """Return the number of calls that are at the runner or on their way to it."""
@@ -125,7 +125,7 @@
         """Release and return a slot; None if it is not held any more."""
         return self.granted.pop(request_id, None)
 
-    def record_load(self, load: ToldLoad, now: float, *, work_s: float) -> None:
+    def record_load(self, load: ReportedLoad, now: float, *, work_s: float) -> None:
         """Record the runner's load report, which came with the end of a call already released.
 
         A count that stays the same while the granted slots change is stuck and says nothing
--- a/lagoonlever/decisions/engines/uneven_engines.py
+++ b/lagoonlever/decisions/engines/uneven_engines.py
@@ -14,9 +14,9 @@
 from lagoonlever.decisions.engines.engine_timings import EngineTimings
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS, gives
 from lagoonlever.decisions.targets.load_estimate import LoadSource
-from lagoonlever.decisions.targets.load_view import MOMENT_S, TargetLoads
+from lagoonlever.decisions.targets.load_view import SLOWDOWN_DURATION_S, TargetLoads
 
-SLOW_PERIOD_LEFT_S = MOMENT_S / 2
+SLOW_PERIOD_LEFT_S = SLOWDOWN_DURATION_S / 2
 """Mean remaining time of a slow period, as a report may come at any time within it."""
 
 
@@ -51,7 +51,7 @@
 
     def uses_own_timings(self, engine: str) -> bool:
         """Check whether an engine is judged by its own timings, as it reports its slowdown."""
-        return self._loads.tells_slowness(engine) and _own_timings_enabled()
+        return self._loads.reports_slowness(engine) and _own_timings_enabled()
 
     def relative_time(self, service: str, engine: str, now: float) -> float:
         """Return how many times as long as its service an engine takes."""
--- a/lagoonlever/entry/services/rests.py
+++ b/lagoonlever/entry/services/rests.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from lagoonlever.decisions.targets.rests import RestingTargets
+from lagoonlever.decisions.targets.backoffs import BackoffTargets
 from lagoonlever.http.client import Response
 from lagoonlever.outcomes import RETRY_AFTER_HEADER
 from lagoonlever.timers import TimerService
@@ -22,23 +22,23 @@
     """Shared by all that send requests to runners."""
 
     _timers: TimerService
-    _resting: RestingTargets = attrs.field(factory=RestingTargets)
+    _resting: BackoffTargets = attrs.field(factory=BackoffTargets)
 
     def note(self, runner: str, response: Response) -> None:
         """Take how long a runner wants nothing, if its answer says so."""
         rest_s = _rest_s(response)
         if rest_s:
             self._resting.expire(self._timers.now)
-            self._resting.asked(runner, rest_s, self._timers.now)
+            self._resting.record(runner, rest_s, self._timers.now)
 
     def awake(self, names: Iterable[str]) -> tuple[str, ...]:
         """Give the runners that have not asked for rest, or whose rest is over."""
         now = self._timers.now
-        return tuple(name for name in names if not self._resting.left_s(name, now))
+        return tuple(name for name in names if not self._resting.remaining_s(name, now))
 
     def is_awake(self, name: str) -> bool:
         """Tell whether a runner takes a request; asked again right before each write."""
-        return not self._resting.left_s(name, self._timers.now)
+        return not self._resting.remaining_s(name, self._timers.now)
 
 
 def _rest_s(response: Response) -> float | None:
--- a/lagoonlever/gateway/call_places.py
+++ b/lagoonlever/gateway/call_places.py
@@ -20,7 +20,7 @@
     RejectedWithRetryAfter,
 )
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS, gives
-from lagoonlever.decisions.targets.call_desks import desks_of, groups_of
+from lagoonlever.decisions.targets.call_coordinators import ranked_coordinators, runner_groups
 from lagoonlever.decisions.targets.listed_target import ListedTarget
 from lagoonlever.gateway import events_calls as events
 from lagoonlever.gateway import metrics
@@ -116,7 +116,7 @@
     def serves(self, service: str) -> bool:
         """Tell whether places at the runners of a service are given out."""
         loads = self._beliefs.loads
-        return any(loads.tells_slowness(each.id) for each in self._serving(service))
+        return any(loads.reports_slowness(each.id) for each in self._serving(service))
 
     async def take(self, accepted: Accepted, *, avoid: Collection[str] = ()) -> PlaceOutcome:
         """Get a place, once there is one."""
@@ -154,7 +154,7 @@
     ) -> PlaceOutcome:
         service = accepted.service
         names = [each.id for each in self._serving(service)]
-        groups = groups_of(service, names)
+        groups = runner_groups(service, names)
         if set(avoid).issuperset(names):
             return None
         number = next(self._numbers)
@@ -276,7 +276,7 @@
         return True
 
     def _give_back(self, told: PlaceTold, desk: str) -> None:
-        groups = groups_of(told.service, (each.id for each in self._serving(told.service)))
+        groups = runner_groups(told.service, (each.id for each in self._serving(told.service)))
         for group in range(len(groups)):
             message = PlaceEnded(
                 number=told.number, service=told.service, group=group, target=told.target
@@ -302,7 +302,7 @@
         if not names or not self._leaving():
             names.append(self._bus.own.name)
         able = [name for name in names if self._silent_until.get(name, 0.0) <= now]
-        return desks_of(service, group, able)[:MOST_DESKS]
+        return ranked_coordinators(service, group, able)[:MOST_DESKS]
 
     def _serving(self, service: str) -> tuple[ListedTarget, ...]:
         return self._beliefs.targets.serving(service)
--- a/lagoonlever/gateway/peers.py
+++ b/lagoonlever/gateway/peers.py
@@ -111,7 +111,7 @@
         now = self._timers.now
         self._beliefs.book.record_first_event(request, now)
         run = self._beliefs.book.find_run(request)
-        word = self._beliefs.loads.word(run.engine) if run is not None else None
+        word = self._beliefs.loads.latest_report(run.engine) if run is not None else None
         self._relay.tell(RunFlows(request=request, load=EngineWord.of(word, now)))
 
     def end(self, ended: RunEnded) -> None:
@@ -206,7 +206,7 @@
         engine = self._beliefs.targets.find(run.engine)
         if engine is None or engine.is_later_than(run.engine_started_ms):
             return
-        self._beliefs.loads.passed_on(change.load.word(run, self._timers.now))
+        self._beliefs.loads.record_relayed_report(change.load.word(run, self._timers.now))
 
     def _end(self, ended: RunEnded) -> None:
         self._beliefs.book.record_end(
--- a/lagoonlever/gateway/stream_attempt.py
+++ b/lagoonlever/gateway/stream_attempt.py
@@ -21,7 +21,7 @@
 )
 from lagoonlever.decisions.streams.silence import Lost as SilenceLost
 from lagoonlever.decisions.targets.limit_permits import Denied
-from lagoonlever.decisions.targets.replacements import LifeSigns
+from lagoonlever.decisions.targets.replacements import LivenessSigns
 from lagoonlever.exceptions import BadResponse, ConnectionBroken
 from lagoonlever.gateway import events, metrics
 from lagoonlever.gateway.accepted import Accepted
@@ -84,7 +84,7 @@
     _answered: bool = False
     """The head of the engine's answer has come, so the engine has begun to run it."""
     _flowing: bool = False
-    _signs: LifeSigns = attrs.field(factory=LifeSigns)
+    _signs: LivenessSigns = attrs.field(factory=LivenessSigns)
     _copies: CopyKeeper = attrs.field(init=False)
     _counts: StreamCounts = attrs.field(init=False)
 
@@ -274,11 +274,11 @@
                 continue
             assert isinstance(step, WaitUntil)
             began = self._tools.timers.elapsed
-            if self._signs.wants_look(began):
-                self._signs.waits(began, nothing_there=connection.quiet)
+            if self._signs.is_check_due(began):
+                self._signs.record_wait(began, nothing_there=connection.quiet)
             with trio.move_on_at(step.at):
                 read = await (connection.read_head() if head else connection.next_piece())
-                self._signs.arrived(self._tools.timers.elapsed)
+                self._signs.record_arrival(self._tools.timers.elapsed)
                 return read
 
     async def _ask(self, connection: ClientConnection, silence: StreamSilence) -> None:
@@ -336,7 +336,7 @@
     def _has_started_again(self) -> bool:
         """Tell whether the engine is another process than the one that the run was sent to."""
         engine = self._tools.beliefs.targets.find(self._plan.engine.id)
-        return engine is not None and engine.has_started_again(self._plan.run.engine_started_ms)
+        return engine is not None and engine.has_restarted_since(self._plan.run.engine_started_ms)
 
     async def _accept_head(self, response: Response, head: AnswerHead) -> bool:
         """Judge the head of an answer; begins the caller's answer with a first good one."""
--- a/lagoonlever/tests/uneven_engines_tests.py
+++ b/lagoonlever/tests/uneven_engines_tests.py
@@ -21,7 +21,7 @@
 from lagoonlever.decisions.targets.listed_target import ListedTarget
 from lagoonlever.decisions.targets.load_estimate import LoadSource
 from lagoonlever.decisions.targets.load_view import TargetLoads
-from lagoonlever.decisions.targets.told_load import LoadWord, ToldLoad
+from lagoonlever.decisions.targets.reported_load import LoadReport, ReportedLoad
 from lagoonlever.http.messages import Address
 
 VMS, ENGINES = 60, 45
@@ -132,12 +132,12 @@
 
     def _on_first_event(self, vm: int, run: BookedRun) -> None:
         slowness = self._slowness(run.engine, self._now) if self.reports_slowness else None
-        load = ToldLoad(running=1.0, waiting=0.0, slots=16.0, slowness=slowness)
-        word = LoadWord(target=run.engine, load=load, at=self._now)
+        load = ReportedLoad(running=1.0, waiting=0.0, slots=16.0, slowness=slowness)
+        word = LoadReport(target=run.engine, load=load, at=self._now)
 
         def update(scheduler: EngineScheduler) -> None:
             scheduler.record_first_event(run.request, self._now)
-            scheduler.loads.passed_on(word)
+            scheduler.loads.record_relayed_report(word)
 
         self._broadcast(vm, update)
         done_at = self._done_at(run.engine, self._now, DECODE_S)
@@ -192,8 +192,8 @@
     """Return a scheduler with load reports of engines at 0 s, each with its slowdown factor."""
     scheduler = EngineScheduler(rng=random.Random(seed), data_center="a")
     for engine, times in slowness.items():
-        load = ToldLoad(running=0.0, waiting=0.0, slots=16.0, slowness=times)
-        scheduler.loads.passed_on(LoadWord(target=engine, load=load, at=0.0))
+        load = ReportedLoad(running=0.0, waiting=0.0, slots=16.0, slowness=times)
+        scheduler.loads.record_relayed_report(LoadReport(target=engine, load=load, at=0.0))
     return scheduler
 
 
@@ -286,7 +286,7 @@
     observe_prefills(scheduler, "e2", FAST, times=9)
     uneven = UnevenEngines(timings=scheduler.timings, loads=scheduler.loads)
     assert uneven.relative_time("engines", "e1", 0.1) > 1.2
-    scheduler.loads.started_again("e1", 0.1)
+    scheduler.loads.record_restart("e1", 0.1)
     assert uneven.relative_time("engines", "e1", 0.1) == 1.0
     assert uneven.slow_period_delay_s("e1", 1.0, 0.1) == 0.0
 
@@ -304,7 +304,7 @@
     taken, other = placement.choice.taken, placement.choice.passed_over
     assert (taken.engine, other.engine) == ("e2", "e1")
     assert taken.pace < other.pace and taken.slowness > other.slowness == 1.0
-    assert (other.age_s, other.source) == (pytest.approx(0.3), LoadSource.NEWS)
+    assert (other.age_s, other.source) == (pytest.approx(0.3), LoadSource.RELAYED)
 
 
 def test_a_choice_that_equal_engines_would_give_too_has_no_snapshots() -> None:
--- a/lagoonlever/tests/uneven_placing_tests.py
+++ b/lagoonlever/tests/uneven_placing_tests.py
@@ -10,7 +10,7 @@
 from lagoonlever.decisions.engines.uneven_engines import EngineSnapshot, UnevenChoice
 from lagoonlever.decisions.streams.run_placement import Placed
 from lagoonlever.decisions.targets.load_estimate import LoadSource
-from lagoonlever.decisions.targets.told_load import LoadWord, ToldLoad
+from lagoonlever.decisions.targets.reported_load import LoadReport, ReportedLoad
 from lagoonlever.gateway.beliefs import Beliefs
 from lagoonlever.peers.messages import PEER
 from lagoonlever.peers.messages_placement import PlacementTold
@@ -19,8 +19,8 @@
 
 
 def learn(beliefs: Beliefs, engine: str, pace: float, now: float) -> None:
-    load = ToldLoad(running=0.0, waiting=0.0, slots=16.0, slowness=1.0)
-    beliefs.loads.told(LoadWord(target=engine, load=load, at=now))
+    load = ReportedLoad(running=0.0, waiting=0.0, slots=16.0, slowness=1.0)
+    beliefs.loads.record_report(LoadReport(target=engine, load=load, at=now))
     for _ in range(5):
         beliefs.book.timings.observe_prefill(SERVICE, engine, tokens=PROMPT, seconds=pace, now=now)
 
@@ -44,7 +44,7 @@
 
 
 def test_a_hub_s_answer_carries_the_reasons_of_its_choice() -> None:
-    seen = EngineSnapshot(engine="e", pace=0.7, slowness=1.0, age_s=0.1, source=LoadSource.NEWS)
+    seen = EngineSnapshot(engine="e", pace=0.7, slowness=1.0, age_s=0.1, source=LoadSource.RELAYED)
     choice = UnevenChoice(taken=seen, passed_over=seen)
     told = PlacementTold.of(1, Placed(engine="e", choice=choice), None)
     assert PEER.decode(PEER.encode(told)) == told
