--- a/lagoonlever/decisions/streams/run_placement.py
+++ b/lagoonlever/decisions/streams/run_placement.py
@@ -193,7 +193,7 @@
         now=now,
         avoid=frozenset(request.avoid),
         prefer=request.prefer,
-        crowd=request.crowd,
+        add_jitter=request.crowd,
         begins_within_s=begins_within_s,
     )
     if placement is None:
@@ -225,7 +225,7 @@
     holder = context.book.choose_copy_holder(
         context.targets.serving(request.service),
         limits=context.limits,
-        beside=engine,
+        run_engine=engine,
         memory_tokens=request.memory_tokens,
         now=now,
         by_losses=context.ranked,
