--- a/lagoonlever/bench/resume_model.py
+++ b/lagoonlever/bench/resume_model.py
@@ -227,7 +227,7 @@
     def _token(self, stream: _Stream) -> None:
         stream.tokens += 1
         self.tally.needed_tokens += 1
-        self._budget.served(engine=ENGINE, tokens=1)
+        self._budget.record_served(engine=ENGINE, tokens=1)
         self._suspicion.token(stream.name, now=self._now)
         if stream.hedge_cost:
             self._drop_hedge(stream)
--- a/lagoonlever/decisions/suspicion/budget.py
+++ b/lagoonlever/decisions/suspicion/budget.py
@@ -48,7 +48,7 @@
         unsettled.since = now
         return True
 
-    def served(self, *, engine: str, tokens: int) -> None:
+    def record_served(self, *, engine: str, tokens: int) -> None:
         """Take that an engine gave tokens: they earn, and prove that it lives."""
         self._unsettled.pop(engine, None)
         self._earn(tokens * self._settings.hedge_budget)
--- a/lagoonlever/entry/engines/watch.py
+++ b/lagoonlever/entry/engines/watch.py
@@ -79,7 +79,7 @@
         for engine, suspicion in self._engines.items():
             tokens = suspicion.take_token_count()
             if tokens:
-                self._budget.served(engine=engine, tokens=tokens)
+                self._budget.record_served(engine=engine, tokens=tokens)
         self._budget.settle(now)
 
     def _compare(self) -> None:
--- a/lagoonlever/tests/suspicion_tests.py
+++ b/lagoonlever/tests/suspicion_tests.py
@@ -208,7 +208,7 @@
             now += 2 * SETTLED_AFTER * chosen.dead_at_most_s
             budget.settle(now)
             continue
-        budget.served(engine=engine_name, tokens=tokens)
+        budget.record_served(engine=engine_name, tokens=tokens)
         served += tokens
         wasted += tokens if spent else 0
     assert wasted <= chosen.hedge_budget * served + chosen.hedge_burst_tokens + 1e-6
