--- a/lagoonlever/bench/resume_model.py
+++ b/lagoonlever/bench/resume_model.py
@@ -137,7 +137,7 @@
             self._now = self._next_tick
             self._next_tick += TICK_S
             self._take_ready_hedges()
-            self._budget.settle(self._now)
+            self._budget.refund_dead_engines(self._now)
             if self._now >= self._suspicion.next_check_at:
                 self._assess()
         self._now = until
--- a/lagoonlever/decisions/suspicion/budget.py
+++ b/lagoonlever/decisions/suspicion/budget.py
@@ -53,7 +53,7 @@
         self._unsettled.pop(engine, None)
         self._earn(tokens * self._settings.hedge_budget)
 
-    def settle(self, now: float) -> None:
+    def refund_dead_engines(self, now: float) -> None:
         """Pay back the hedges of engines that have stayed silent since."""
         proved_s = SETTLED_AFTER * self._settings.dead_at_most_s
         for engine, unsettled in list(self._unsettled.items()):
--- a/lagoonlever/entry/engines/watch.py
+++ b/lagoonlever/entry/engines/watch.py
@@ -80,7 +80,7 @@
             tokens = suspicion.take_token_count()
             if tokens:
                 self._budget.record_served(engine=engine, tokens=tokens)
-        self._budget.settle(now)
+        self._budget.refund_dead_engines(now)
 
     def _compare(self) -> None:
         """Tell each engine's judge the usual spacing, so that a general slowness is no fault."""
--- a/lagoonlever/tests/suspicion_tests.py
+++ b/lagoonlever/tests/suspicion_tests.py
@@ -206,7 +206,7 @@
         spent = budget.try_spend(engine=engine_name, tokens=tokens, now=now)
         if proved_dead:
             now += 2 * SETTLED_AFTER * chosen.dead_at_most_s
-            budget.settle(now)
+            budget.refund_dead_engines(now)
             continue
         budget.record_served(engine=engine_name, tokens=tokens)
         served += tokens
@@ -219,5 +219,5 @@
     budget = HedgeBudget(settings=chosen)
     assert budget.try_spend(engine="a", tokens=2000, now=1.0)
     assert not budget.try_spend(engine="b", tokens=2000, now=1.0)
-    budget.settle(1.0 + SETTLED_AFTER * chosen.dead_at_most_s)
+    budget.refund_dead_engines(1.0 + SETTLED_AFTER * chosen.dead_at_most_s)
     assert budget.left_tokens == 3000.0
