--- a/lagoonlever/decisions/suspicion/budget.py
+++ b/lagoonlever/decisions/suspicion/budget.py
@@ -34,7 +34,7 @@
         self._left_tokens = self._settings.hedge_burst_tokens
 
     @property
-    def left_tokens(self) -> float:
+    def remaining_tokens(self) -> float:
         """What may be spent now, in engine tokens."""
         return self._left_tokens
 
--- a/lagoonlever/tests/suspicion_tests.py
+++ b/lagoonlever/tests/suspicion_tests.py
@@ -220,4 +220,4 @@
     assert budget.try_spend(engine="a", tokens=2000, now=1.0)
     assert not budget.try_spend(engine="b", tokens=2000, now=1.0)
     budget.refund_dead_engines(1.0 + SETTLED_AFTER * chosen.dead_at_most_s)
-    assert budget.left_tokens == 3000.0
+    assert budget.remaining_tokens == 3000.0
