--- a/lagoonlever/decisions/suspicion/budget.py
+++ b/lagoonlever/decisions/suspicion/budget.py
@@ -6,7 +6,7 @@
 
 from lagoonlever.decisions.suspicion.settings import DetectionSettings
 
-SETTLED_AFTER = 2.0
+REFUND_AFTER_FACTOR = 2.0
 """An engine silent for so many times ``dead_at_most_s`` after a hedge has proved dead."""
 
 
@@ -55,7 +55,7 @@
 
     def refund_dead_engines(self, now: float) -> None:
         """Pay back the hedges of engines that have stayed silent since."""
-        proved_s = SETTLED_AFTER * self._settings.dead_at_most_s
+        proved_s = REFUND_AFTER_FACTOR * self._settings.dead_at_most_s
         for engine, unsettled in list(self._unsettled.items()):
             if now - unsettled.since >= proved_s:
                 del self._unsettled[engine]
--- a/lagoonlever/tests/suspicion_tests.py
+++ b/lagoonlever/tests/suspicion_tests.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lagoonlever.decisions.suspicion.budget import SETTLED_AFTER, HedgeBudget
+from lagoonlever.decisions.suspicion.budget import REFUND_AFTER_FACTOR, HedgeBudget
 from lagoonlever.decisions.suspicion.detectors import DETECTORS, SuspicionReason
 from lagoonlever.decisions.suspicion.settings import DetectionSettings
 from lagoonlever.decisions.suspicion.suspicion import EngineSuspicion, StreamVerdict, SuspicionLevel
@@ -205,7 +205,7 @@
         now += 1.0
         spent = budget.try_spend(engine=engine_name, tokens=tokens, now=now)
         if proved_dead:
-            now += 2 * SETTLED_AFTER * chosen.dead_at_most_s
+            now += 2 * REFUND_AFTER_FACTOR * chosen.dead_at_most_s
             budget.refund_dead_engines(now)
             continue
         budget.record_served(engine=engine_name, tokens=tokens)
@@ -219,5 +219,5 @@
     budget = HedgeBudget(settings=chosen)
     assert budget.try_spend(engine="a", tokens=2000, now=1.0)
     assert not budget.try_spend(engine="b", tokens=2000, now=1.0)
-    budget.refund_dead_engines(1.0 + SETTLED_AFTER * chosen.dead_at_most_s)
+    budget.refund_dead_engines(1.0 + REFUND_AFTER_FACTOR * chosen.dead_at_most_s)
     assert budget.remaining_tokens == 3000.0
