--- a/lagoonlever/bench/resume_model.py
+++ b/lagoonlever/bench/resume_model.py
@@ -228,7 +228,7 @@
         stream.tokens += 1
         self.tally.needed_tokens += 1
         self._budget.record_served(engine=ENGINE, tokens=1)
-        self._suspicion.token(stream.name, now=self._now)
+        self._suspicion.record_token(stream.name, now=self._now)
         if stream.hedge_cost:
             self._drop_hedge(stream)
 
--- a/lagoonlever/decisions/suspicion/suspicion.py
+++ b/lagoonlever/decisions/suspicion/suspicion.py
@@ -90,7 +90,7 @@
         allowed = self._detector.allowance(track, self._engine)
         self._next_check_at = min(self._next_check_at, now + allowed.suspect_s)
 
-    def token(self, stream: str, *, now: float) -> None:
+    def record_token(self, stream: str, *, now: float) -> None:
         """Take note of a token; one of a stream that is not watched is ignored."""
         track = self._streams.get(stream)
         if track is None:
--- a/lagoonlever/tests/suspicion_tests.py
+++ b/lagoonlever/tests/suspicion_tests.py
@@ -32,7 +32,7 @@
     def step(self, *streams: str, gap_s: float = GAP_S) -> None:
         self.silent(gap_s)
         for stream in streams:
-            self.suspicion.token(stream, now=self.now)
+            self.suspicion.record_token(stream, now=self.now)
 
     def run(self, *streams: str, steps: int, gap_s: float = GAP_S) -> None:
         for _ in range(steps):
