--- a/lagoonlever/bench/resume_model.py
+++ b/lagoonlever/bench/resume_model.py
@@ -207,7 +207,7 @@
             first_at=self._now + model.prompt_tokens * model.prefill_token_s,
         )
         self._streams[stream.name] = stream
-        self._suspicion.stream_opened(stream.name, now=self._now, prompt_tokens=model.prompt_tokens)
+        self._suspicion.add_stream(stream.name, now=self._now, prompt_tokens=model.prompt_tokens)
 
     def _step(self) -> None:
         model = self._model
--- a/lagoonlever/decisions/suspicion/suspicion.py
+++ b/lagoonlever/decisions/suspicion/suspicion.py
@@ -82,7 +82,7 @@
         """Give the level of an open stream, as last assessed."""
         return self._levels[stream]
 
-    def stream_opened(self, stream: str, *, now: float, prompt_tokens: int) -> None:
+    def add_stream(self, stream: str, *, now: float, prompt_tokens: int) -> None:
         """Begin to watch a stream whose request was just written to the engine."""
         track = StreamTrack(stream=stream, prompt_tokens=prompt_tokens, opened_at=now, last_at=now)
         self._streams[stream] = track
--- a/lagoonlever/entry/engines/watch.py
+++ b/lagoonlever/entry/engines/watch.py
@@ -49,7 +49,7 @@
             suspicion = EngineSuspicion(settings=self._settings)
             self._engines[engine] = suspicion
         self._listeners[str(attempt)] = listener
-        suspicion.stream_opened(str(attempt), now=self._now(), prompt_tokens=prompt_tokens)
+        suspicion.add_stream(str(attempt), now=self._now(), prompt_tokens=prompt_tokens)
 
     def token(self, *, engine: str, attempt: int) -> None:
         """Take note that an attempt's engine sent something."""
--- a/lagoonlever/tests/suspicion_tests.py
+++ b/lagoonlever/tests/suspicion_tests.py
@@ -27,7 +27,7 @@
 
     def open(self, *streams: str) -> None:
         for stream in streams:
-            self.suspicion.stream_opened(stream, now=self.now, prompt_tokens=100)
+            self.suspicion.add_stream(stream, now=self.now, prompt_tokens=100)
 
     def step(self, *streams: str, gap_s: float = GAP_S) -> None:
         self.silent(gap_s)
@@ -150,16 +150,16 @@
     watched.suspicion.stream_closed("a")
     watched.suspicion.stream_closed("b")
     watched.verdicts.clear()
-    watched.suspicion.stream_opened("c", now=watched.now, prompt_tokens=2000)
+    watched.suspicion.add_stream("c", now=watched.now, prompt_tokens=2000)
     watched.silent(1.6)
-    watched.suspicion.stream_opened("d", now=watched.now, prompt_tokens=2000)
+    watched.suspicion.add_stream("d", now=watched.now, prompt_tokens=2000)
     watched.silent(2.8)
     assert SuspicionReason.SLOW not in {v.reason for v in watched.verdicts}
 
 
 def test_a_long_prefill_is_no_death_and_a_first_token_that_never_comes_is() -> None:
     watched = engine()
-    watched.suspicion.stream_opened("long", now=watched.now, prompt_tokens=4000)
+    watched.suspicion.add_stream("long", now=watched.now, prompt_tokens=4000)
     watched.silent(2.4)
     assert ("long", SuspicionLevel.DEAD) not in watched.levels()
     watched.silent(20.0)
