--- a/lagoonlever/bench/resume_model.py
+++ b/lagoonlever/bench/resume_model.py
@@ -193,7 +193,7 @@
 
     def _close(self, stream: _Stream) -> None:
         del self._streams[stream.name]
-        self._suspicion.stream_closed(stream.name)
+        self._suspicion.remove_stream(stream.name)
 
     def _open(self, *, spread: bool) -> None:
         model = self._model
--- a/lagoonlever/decisions/suspicion/suspicion.py
+++ b/lagoonlever/decisions/suspicion/suspicion.py
@@ -114,7 +114,7 @@
         count, self._untold_tokens = self._untold_tokens, 0
         return count
 
-    def stream_closed(self, stream: str) -> None:
+    def remove_stream(self, stream: str) -> None:
         """Stop watching a stream, however it ended."""
         track = self._streams.pop(stream, None)
         if track is None:
