--- a/lagoonlever/decisions/suspicion/suspicion.py
+++ b/lagoonlever/decisions/suspicion/suspicion.py
@@ -127,7 +127,7 @@
             self._slow_since = None
             self._engine.spacing.forget_slowness()
 
-    def paused(self, seconds: float, *, now: float) -> None:
+    def discount_pause(self, seconds: float, *, now: float) -> None:
         """Count this process's own pause as no silence of the engine.
 
         After SIGCONT or a long garbage collection the engine's tokens wait unread
@@ -141,7 +141,7 @@
         """Give the streams whose level changed since the last assessment."""
         late_s = now - self._next_check_at
         if late_s > LATE_CHECK_S:
-            self.paused(late_s, now=now)
+            self.discount_pause(late_s, now=now)
         self._note_slowness(now)
         verdicts: list[StreamVerdict] = []
         next_check_at = math.inf
--- a/lagoonlever/tests/suspicion_tests.py
+++ b/lagoonlever/tests/suspicion_tests.py
@@ -103,7 +103,7 @@
         watched.run("a", "b", steps=200)
         watched.now += 5.0
         if told:
-            watched.suspicion.paused(5.0, now=watched.now)
+            watched.suspicion.discount_pause(5.0, now=watched.now)
         else:
             watched.suspicion._next_check_at = watched.now
         levels = {v.level for v in watched.suspicion.assess(watched.now)}
