--- a/lagoonlever/decisions/suspicion/suspicion.py
+++ b/lagoonlever/decisions/suspicion/suspicion.py
@@ -46,7 +46,7 @@
     level: SuspicionLevel
     reason: SuspicionReason
     silence_s: float
-    work_tokens: int
+    takeover_tokens: int
     """What another engine computes to take the stream over: its prompt and its tokens."""
 
 
@@ -174,7 +174,7 @@
             level=level,
             reason=reason,
             silence_s=silence_s,
-            work_tokens=track.prompt_tokens + track.tokens,
+            takeover_tokens=track.prompt_tokens + track.tokens,
         )
 
     def _slow_long(self, now: float) -> bool:
