--- a/lagoonlever/bench/resume.py
+++ b/lagoonlever/bench/resume.py
@@ -22,7 +22,7 @@
 from lagoonlever.decisions.suspicion.settings import (
     HEDGE_OFF,
     HEDGE_RACE,
-    LEAST_EXTRA_USE,
+    NO_HEDGING,
     LOW_LATENCY,
     DetectionSettings,
 )
@@ -83,7 +83,7 @@
 def ways(*, quick: bool) -> Iterator[Way]:
     """Give the ways compared; the first is the baseline."""
     yield Way(name=BASELINE, settings=_fixed(10.0).settings)
-    yield Way(name="Motus: least extra use", settings=LEAST_EXTRA_USE)
+    yield Way(name="Motus: least extra use", settings=NO_HEDGING)
     yield Way(name="Sembrani: low latency", settings=LOW_LATENCY)
     if quick:
         return
--- a/lagoonlever/decisions/suspicion/settings.py
+++ b/lagoonlever/decisions/suspicion/settings.py
@@ -96,5 +96,5 @@
 
 LOW_LATENCY = DetectionSettings()
 """Hedges on suspicion, within the budget; the default, and Sembrani's place on the curve."""
-LEAST_EXTRA_USE = DetectionSettings(hedge=HEDGE_OFF)
+NO_HEDGING = DetectionSettings(hedge=HEDGE_OFF)
 """Waits for certainty; Motus's place on the curve."""
