--- a/lagoonlever/bench/resume.py
+++ b/lagoonlever/bench/resume.py
@@ -22,8 +22,8 @@
 from lagoonlever.decisions.suspicion.settings import (
     HEDGE_OFF,
     HEDGE_RACE,
-    NO_HEDGING,
     LOW_LATENCY,
+    NO_HEDGING,
     DetectionSettings,
 )
 
