--- a/lagoonlever/entry/engines/watch.py
+++ b/lagoonlever/entry/engines/watch.py
@@ -53,14 +53,14 @@
 
     def token(self, *, engine: str, attempt: int) -> None:
         """Take note that an attempt's engine sent something."""
-        self._engines[engine].token(str(attempt), now=self._now())
+        self._engines[engine].record_token(str(attempt), now=self._now())
 
     def closed(self, *, engine: str, attempt: int) -> None:
         """Stop watching an attempt."""
         self._listeners.pop(str(attempt), None)
         suspicion = self._engines.get(engine)
         if suspicion is not None:
-            suspicion.stream_closed(str(attempt))
+            suspicion.remove_stream(str(attempt))
 
     def on_tick(self, tick: Tick) -> None:
         """Judge every engine whose next check is due."""
@@ -70,7 +70,7 @@
             self._compare()
         for engine, suspicion in list(self._engines.items()):
             if tick.paused_s:
-                suspicion.paused(tick.paused_s, now=tick.now)
+                suspicion.discount_pause(tick.paused_s, now=tick.now)
             if tick.now >= suspicion.next_check_at:
                 self._tell(engine, suspicion.assess(tick.now))
 
@@ -102,4 +102,6 @@
     def _may_hedge(self, engine: str, verdict: StreamVerdict) -> bool:
         if self._settings.hedge == HEDGE_OFF:
             return False
-        return self._budget.try_spend(engine=engine, tokens=verdict.work_tokens, now=self._now())
+        return self._budget.try_spend(
+            engine=engine, tokens=verdict.takeover_tokens, now=self._now()
+        )
