--- a/lagoonlever/decisions/claims/claims.py
+++ b/lagoonlever/decisions/claims/claims.py
@@ -136,7 +136,7 @@
         """Give what callers need to mint keys of this home."""
         return KeyHome(home=self._own, life_s=int(self.life_s(now)), lifetime_s=self._lifetime_s)
 
-    def expired(self, key: HomedKey, now: float) -> bool:
+    def has_expired(self, key: HomedKey, now: float) -> bool:
         """Tell whether a key must not be run any more."""
         return self.life_s(now) >= key.expires_life_s
 
@@ -148,7 +148,7 @@
         record = self._records.get(key)
         if record is not None:
             return self._known(record, fingerprint)
-        if self.expired(key, now):
+        if self.has_expired(key, now):
             return Expired()
         if key.expires_life_s > self.life_s(now) + self._lifetime_s:
             return TooFar()
