--- a/lagoonlever/decisions/claims/claims.py
+++ b/lagoonlever/decisions/claims/claims.py
@@ -123,7 +123,7 @@
         return self._used_bytes
 
     @property
-    def open_keys(self) -> int:
+    def unsettled_keys(self) -> int:
         """The number of keys that are admitted and not yet settled."""
         records = self._records.values()
         return sum(record.state is not KeyState.SETTLED for record in records)
