--- a/lagoonlever/decisions/claims/claims.py
+++ b/lagoonlever/decisions/claims/claims.py
@@ -128,17 +128,17 @@
         records = self._records.values()
         return sum(record.state is not KeyState.SETTLED for record in records)
 
-    def life_s(self, now: float) -> float:
+    def age_s(self, now: float) -> float:
         """Give the seconds that this incarnation has lived."""
         return now - self._born_at
 
     def key_home(self, now: float) -> KeyHome:
         """Give what callers need to mint keys of this home."""
-        return KeyHome(home=self._own, life_s=int(self.life_s(now)), lifetime_s=self._lifetime_s)
+        return KeyHome(home=self._own, life_s=int(self.age_s(now)), lifetime_s=self._lifetime_s)
 
     def has_expired(self, key: HomedKey, now: float) -> bool:
         """Tell whether a key must not be run any more."""
-        return self.life_s(now) >= key.expires_life_s
+        return self.age_s(now) >= key.expires_life_s
 
     def admit(self, key: HomedKey, *, fingerprint: bytes, now: float) -> Admission:
         """Decide about one copy of a request; ``Run`` is given at most once for a key."""
@@ -150,7 +150,7 @@
             return self._known(record, fingerprint)
         if self.has_expired(key, now):
             return Expired()
-        if key.expires_life_s > self.life_s(now) + self._lifetime_s:
+        if key.expires_life_s > self.age_s(now) + self._lifetime_s:
             return TooFar()
         if self._void(key):
             return Full()
@@ -196,7 +196,7 @@
     def _forget_expired(self, now: float) -> None:
         """Drop settled records past their expiry; one still being run stays until settled."""
         kept: list[tuple[int, str, HomedKey]] = []
-        while self._expiries and self._expiries[0][0] <= self.life_s(now):
+        while self._expiries and self._expiries[0][0] <= self.age_s(now):
             entry = heapq.heappop(self._expiries)
             record = self._records[entry[2]]
             if record.answer is None:
