--- a/lagoonlever/bench/claims.py
+++ b/lagoonlever/bench/claims.py
@@ -13,7 +13,7 @@
 import trio
 
 from lagoonlever.bench.report import BenchOptions, BenchResult, Rows, benchmark, column
-from lagoonlever.decisions.claims.claims import HomeTable, Run
+from lagoonlever.decisions.claims.claims import KeyTable, Run
 from lagoonlever.decisions.claims.group import Bound
 from lagoonlever.entry.fleet.claims import BUCKET_S, Claims
 from lagoonlever.entry.services.settings import ServiceSettings
@@ -68,7 +68,7 @@
 class ClaimingVm:
     """One VM's table of keys and its claims."""
 
-    table: HomeTable
+    table: KeyTable
     claims: Claims
     platform: EtcdPlatform
     latencies: list[float] = attrs.field(factory=list)
@@ -95,7 +95,7 @@
 def _vm(index: int, platform: EtcdPlatform) -> ClaimingVm:
     settings = ServiceSettings(home_bytes=1 << 30)
     timers = TimerService()
-    table = HomeTable(
+    table = KeyTable(
         own=Incarnation(name=f"vm{index}", started_ms=1, nonce=index),
         born_at=timers.now,
         limit_bytes=settings.home_bytes,
--- a/lagoonlever/decisions/claims/claims.py
+++ b/lagoonlever/decisions/claims/claims.py
@@ -105,7 +105,7 @@
 
 
 @attrs.define(kw_only=True)
-class HomeTable:
+class KeyTable:
     """The keys of one incarnation, bounded in memory; a live key is never evicted."""
 
     _own: Incarnation
--- a/lagoonlever/entry/fleet/claims.py
+++ b/lagoonlever/entry/fleet/claims.py
@@ -11,7 +11,7 @@
 import logbook
 import trio
 
-from lagoonlever.decisions.claims.claims import HomeTable
+from lagoonlever.decisions.claims.claims import KeyTable
 from lagoonlever.decisions.claims.group import (
     Bindings,
     Bound,
@@ -50,7 +50,7 @@
     """Owns the claims of this VM; one transaction is on its way at a time."""
 
     _platform: Platform
-    _table: HomeTable
+    _table: KeyTable
     _timers: TimerService
     _settings: ServiceSettings
     _queue: ClaimQueue = attrs.field(factory=ClaimQueue)
--- a/lagoonlever/entry/services/keyed.py
+++ b/lagoonlever/entry/services/keyed.py
@@ -11,7 +11,7 @@
 from lagoonlever.decisions.claims.claims import (
     Expired,
     Full,
-    HomeTable,
+    KeyTable,
     InProgress,
     KeyRecord,
     KeyState,
@@ -61,7 +61,7 @@
     also when the caller that sent it has gone.
     """
 
-    _table: HomeTable
+    _table: KeyTable
     _dispatcher: Dispatcher
     _timers: TimerService
     _settings: ServiceSettings
--- a/lagoonlever/entry/services/services.py
+++ b/lagoonlever/entry/services/services.py
@@ -13,7 +13,7 @@
 import trio
 
 from lagoonlever.decisions.admission.runners import Runners
-from lagoonlever.decisions.claims.claims import HomeTable, StoredAnswer
+from lagoonlever.decisions.claims.claims import KeyTable, StoredAnswer
 from lagoonlever.decisions.claims.keys import (
     KEY_HEADER,
     KeyHome,
@@ -110,7 +110,7 @@
             max_outstanding=settings.max_outstanding,
             target_s=settings.lookup_target_s,
         )
-        table = HomeTable(
+        table = KeyTable(
             own=own,
             born_at=timers.now,
             limit_bytes=settings.home_bytes,
--- a/lagoonlever/tests/claims_machine.py
+++ b/lagoonlever/tests/claims_machine.py
@@ -11,7 +11,7 @@
 from lagoonlever.decisions.claims.claims import (
     RECORD_BYTES,
     Full,
-    HomeTable,
+    KeyTable,
     InProgress,
     KeyRecord,
     KeyState,
@@ -42,7 +42,7 @@
 UNKNOWN = answer(Unknown(reason=Reason.CONNECTION_LOST, message=""))
 
 
-def table_of(own: Incarnation, born_at: float, cls: type[HomeTable] = HomeTable) -> HomeTable:
+def table_of(own: Incarnation, born_at: float, cls: type[KeyTable] = KeyTable) -> KeyTable:
     return cls(
         own=own, born_at=born_at, limit_bytes=ROOM_KEYS * RECORD_BYTES, lifetime_s=LIFETIME_S
     )
@@ -53,7 +53,7 @@
     """One life of a VM."""
 
     incarnation: Incarnation
-    table: HomeTable
+    table: KeyTable
     frozen: bool = False
     dead: bool = False
 
@@ -73,7 +73,7 @@
 class ClaimsMachine(RuleBasedStateMachine):
     """The whole path of a keyed request, one atomic step a rule."""
 
-    table_class: type[HomeTable] = HomeTable
+    table_class: type[KeyTable] = KeyTable
     lease_s = LEASE_S
     create_if_absent = True
     take_over_unreachable = False
--- a/lagoonlever/tests/claims_tests.py
+++ b/lagoonlever/tests/claims_tests.py
@@ -8,13 +8,13 @@
 from hypothesis import HealthCheck, settings
 from hypothesis.stateful import run_state_machine_as_test as run_machine
 
-from lagoonlever.decisions.claims.claims import RECORD_BYTES, HomeTable, KeyRecord, StoredAnswer
+from lagoonlever.decisions.claims.claims import RECORD_BYTES, KeyTable, KeyRecord, StoredAnswer
 from lagoonlever.decisions.claims.keys import HomedKey
 from lagoonlever.outcomes import NotRun
 from lagoonlever.tests.claims_machine import ROOM_KEYS, ClaimsMachine
 
 
-class ForgetsRefusals(HomeTable):
+class ForgetsRefusals(KeyTable):
     """Guard off: a key that was told "not run" is forgotten."""
 
     def settle(self, record: KeyRecord, answer: StoredAnswer) -> None:
@@ -25,7 +25,7 @@
             self._used_bytes -= RECORD_BYTES + answer.size_bytes
 
 
-class ForgetsVoidKeys(HomeTable):
+class ForgetsVoidKeys(KeyTable):
     """Guard off: a key that was refused for want of memory is taken later."""
 
     def _void(self, key: HomedKey) -> bool:
