--- a/lagoonlever/decisions/claims/claims.py
+++ b/lagoonlever/decisions/claims/claims.py
@@ -70,7 +70,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Repeat:
+class RepeatAnswer:
     """The request is settled; give its answer again."""
 
     answer: StoredAnswer
@@ -101,7 +101,7 @@
     """No memory for a new key; this key is now void and will never run."""
 
 
-Admission = Run | InProgress | Repeat | Mismatch | NotMine | Expired | TooFar | Full
+Admission = Run | InProgress | RepeatAnswer | Mismatch | NotMine | Expired | TooFar | Full
 
 
 @attrs.define(kw_only=True)
@@ -179,7 +179,7 @@
             return Mismatch()
         if record.answer is None:
             return InProgress(record=record)
-        return Repeat(answer=record.answer)
+        return RepeatAnswer(answer=record.answer)
 
     def _void(self, key: HomedKey) -> bool:
         """Refuse a key for good when memory is short.
--- a/lagoonlever/entry/services/keyed.py
+++ b/lagoonlever/entry/services/keyed.py
@@ -17,7 +17,7 @@
     KeyState,
     Mismatch,
     NotMine,
-    Repeat,
+    RepeatAnswer,
     Run,
     StoredAnswer,
     TooFar,
@@ -95,7 +95,7 @@
                 return await self._start(call, record)
             case InProgress(record=record):
                 return await self._wait(call, record)
-            case Repeat(answer=answer):
+            case RepeatAnswer(answer=answer):
                 return answer
             case Mismatch():
                 return used_for_another()
--- a/lagoonlever/tests/claims_machine.py
+++ b/lagoonlever/tests/claims_machine.py
@@ -15,7 +15,7 @@
     InProgress,
     KeyRecord,
     KeyState,
-    Repeat,
+    RepeatAnswer,
     Run,
     StoredAnswer,
 )
@@ -212,7 +212,7 @@
         admission = copy.life.table.admit(copy.homed, fingerprint=PRINT, now=self.now)
         if isinstance(admission, Run):
             copy.record = admission.record
-        elif isinstance(admission, Repeat):
+        elif isinstance(admission, RepeatAnswer):
             self.tell(copy, admission.answer)
         elif isinstance(admission, Full):
             self.tell(copy, NOT_RUN)
