--- a/lagoonlever/decisions/claims/claims.py
+++ b/lagoonlever/decisions/claims/claims.py
@@ -77,7 +77,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Mismatch:
+class FingerprintMismatch:
     """The key was used for another request."""
 
 
@@ -101,7 +101,9 @@
     """No memory for a new key; this key is now void and will never run."""
 
 
-Admission = Run | InProgress | RepeatAnswer | Mismatch | NotMine | Expired | TooFar | Full
+Admission = (
+    Run | InProgress | RepeatAnswer | FingerprintMismatch | NotMine | Expired | TooFar | Full
+)
 
 
 @attrs.define(kw_only=True)
@@ -176,7 +178,7 @@
 
     def _known(self, record: KeyRecord, fingerprint: bytes) -> Admission:
         if record.fingerprint != fingerprint:
-            return Mismatch()
+            return FingerprintMismatch()
         if record.answer is None:
             return InProgress(record=record)
         return RepeatAnswer(answer=record.answer)
--- a/lagoonlever/entry/services/keyed.py
+++ b/lagoonlever/entry/services/keyed.py
@@ -15,7 +15,7 @@
     InProgress,
     KeyRecord,
     KeyState,
-    Mismatch,
+    FingerprintMismatch,
     NotMine,
     RepeatAnswer,
     Run,
@@ -97,7 +97,7 @@
                 return await self._wait(call, record)
             case RepeatAnswer(answer=answer):
                 return answer
-            case Mismatch():
+            case FingerprintMismatch():
                 return used_for_another()
             case NotMine():
                 return unknown(
--- a/lagoonlever/tests/claims_keys_tests.py
+++ b/lagoonlever/tests/claims_keys_tests.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from lagoonlever.decisions.claims.claims import Full, Mismatch, Run
+from lagoonlever.decisions.claims.claims import Full, FingerprintMismatch, Run
 from lagoonlever.decisions.claims.dispatch import (
     CheckAgain,
     ChooseAgain,
@@ -27,7 +27,7 @@
     table = table_of(OWN, 0.0)
     key = table.key_home(5.0).mint(random="12345678")
     assert isinstance(table.admit(key, fingerprint=b"a", now=6.0), Run)
-    assert isinstance(table.admit(key, fingerprint=b"b", now=7.0), Mismatch)
+    assert isinstance(table.admit(key, fingerprint=b"b", now=7.0), FingerprintMismatch)
 
 
 def test_keys_minted_after_a_refusal_are_taken_again() -> None:
