--- a/lagoonlever/decisions/claims/claims.py
+++ b/lagoonlever/decisions/claims/claims.py
@@ -82,7 +82,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class NotMine:
+class WrongHome:
     """The key's home is another incarnation."""
 
 
@@ -102,7 +102,7 @@
 
 
 Admission = (
-    Run | InProgress | RepeatAnswer | FingerprintMismatch | NotMine | Expired | TooFar | Full
+    Run | InProgress | RepeatAnswer | FingerprintMismatch | WrongHome | Expired | TooFar | Full
 )
 
 
@@ -145,7 +145,7 @@
     def admit(self, key: HomedKey, *, fingerprint: bytes, now: float) -> Admission:
         """Decide about one copy of a request; ``Run`` is given at most once for a key."""
         if key.home != self._own:
-            return NotMine()
+            return WrongHome()
         self._forget_expired(now)
         record = self._records.get(key)
         if record is not None:
--- a/lagoonlever/entry/services/keyed.py
+++ b/lagoonlever/entry/services/keyed.py
@@ -16,7 +16,7 @@
     KeyRecord,
     KeyState,
     FingerprintMismatch,
-    NotMine,
+    WrongHome,
     RepeatAnswer,
     Run,
     StoredAnswer,
@@ -99,7 +99,7 @@
                 return answer
             case FingerprintMismatch():
                 return used_for_another()
-            case NotMine():
+            case WrongHome():
                 return unknown(
                     Reason.HOME_UNREACHABLE,
                     "the VM that held this key has ended; look up the request's effect",
