--- a/lagoonlever/decisions/claims/claims.py
+++ b/lagoonlever/decisions/claims/claims.py
@@ -87,7 +87,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Expired:
+class KeyExpired:
     """The key is past its expiry, and what became of it is no longer kept."""
 
 
@@ -102,7 +102,7 @@
 
 
 Admission = (
-    Run | InProgress | RepeatAnswer | FingerprintMismatch | WrongHome | Expired | TooFar | Full
+    Run | InProgress | RepeatAnswer | FingerprintMismatch | WrongHome | KeyExpired | TooFar | Full
 )
 
 
@@ -151,7 +151,7 @@
         if record is not None:
             return self._known(record, fingerprint)
         if self.has_expired(key, now):
-            return Expired()
+            return KeyExpired()
         if key.expires_life_s > self.age_s(now) + self._lifetime_s:
             return TooFar()
         if self._void(key):
--- a/lagoonlever/entry/services/keyed.py
+++ b/lagoonlever/entry/services/keyed.py
@@ -9,7 +9,7 @@
 import trio
 
 from lagoonlever.decisions.claims.claims import (
-    Expired,
+    KeyExpired,
     Full,
     KeyTable,
     InProgress,
@@ -104,7 +104,7 @@
                     Reason.HOME_UNREACHABLE,
                     "the VM that held this key has ended; look up the request's effect",
                 )
-            case Expired():
+            case KeyExpired():
                 return unknown(
                     Reason.KEY_EXPIRED,
                     "the key has expired: it will not run, and whether it ran is no longer kept",
