--- a/lagoonlever/decisions/claims/claims.py
+++ b/lagoonlever/decisions/claims/claims.py
@@ -92,7 +92,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class TooFar:
+class ExpiryTooFar:
     """The key's expiry is further away than keys may live."""
 
 
@@ -102,7 +102,14 @@
 
 
 Admission = (
-    Run | InProgress | RepeatAnswer | FingerprintMismatch | WrongHome | KeyExpired | TooFar | Full
+    Run
+    | InProgress
+    | RepeatAnswer
+    | FingerprintMismatch
+    | WrongHome
+    | KeyExpired
+    | ExpiryTooFar
+    | Full
 )
 
 
@@ -153,7 +160,7 @@
         if self.has_expired(key, now):
             return KeyExpired()
         if key.expires_life_s > self.age_s(now) + self._lifetime_s:
-            return TooFar()
+            return ExpiryTooFar()
         if self._void(key):
             return Full()
         record = KeyRecord(key=key, fingerprint=fingerprint)
--- a/lagoonlever/entry/services/keyed.py
+++ b/lagoonlever/entry/services/keyed.py
@@ -20,7 +20,7 @@
     RepeatAnswer,
     Run,
     StoredAnswer,
-    TooFar,
+    ExpiryTooFar,
 )
 from lagoonlever.decisions.claims.keys import KEY_HEADER, HomedKey, fingerprint_of
 from lagoonlever.decisions.targets.targets import Target
@@ -109,7 +109,7 @@
                     Reason.KEY_EXPIRED,
                     "the key has expired: it will not run, and whether it ran is no longer kept",
                 )
-            case TooFar():
+            case ExpiryTooFar():
                 return unknown(
                     Reason.BAD_REQUEST,
                     f"{KEY_HEADER}: expires later than keys may live; {RETRY_NEW_KEY}",
