--- a/lagoonlever/decisions/claims/claims.py
+++ b/lagoonlever/decisions/claims/claims.py
@@ -97,7 +97,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Full:
+class TableFull:
     """No memory for a new key; this key is now void and will never run."""
 
 
@@ -109,7 +109,7 @@
     | WrongHome
     | KeyExpired
     | ExpiryTooFar
-    | Full
+    | TableFull
 )
 
 
@@ -162,7 +162,7 @@
         if key.expires_life_s > self.age_s(now) + self._lifetime_s:
             return ExpiryTooFar()
         if self._void(key):
-            return Full()
+            return TableFull()
         record = KeyRecord(key=key, fingerprint=fingerprint)
         self._records[key] = record
         heapq.heappush(self._expiries, (key.expires_life_s, key.random, key))
--- a/lagoonlever/entry/services/keyed.py
+++ b/lagoonlever/entry/services/keyed.py
@@ -10,7 +10,7 @@
 
 from lagoonlever.decisions.claims.claims import (
     KeyExpired,
-    Full,
+    TableFull,
     KeyTable,
     InProgress,
     KeyRecord,
@@ -114,7 +114,7 @@
                     Reason.BAD_REQUEST,
                     f"{KEY_HEADER}: expires later than keys may live; {RETRY_NEW_KEY}",
                 )
-            case Full():
+            case TableFull():
                 return not_run(
                     Reason.OVERLOADED,
                     f"no memory for another key; {RETRY_NEW_KEY}",
--- a/lagoonlever/tests/claims_keys_tests.py
+++ b/lagoonlever/tests/claims_keys_tests.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from lagoonlever.decisions.claims.claims import Full, FingerprintMismatch, Run
+from lagoonlever.decisions.claims.claims import TableFull, FingerprintMismatch, Run
 from lagoonlever.decisions.claims.dispatch import (
     CheckAgain,
     ChooseAgain,
@@ -38,7 +38,7 @@
         assert isinstance(admission, Run)
         table.settle(admission.record, answer(Done()))
     refused = table.key_home(2.0).mint(random="refused-1")
-    assert isinstance(table.admit(refused, fingerprint=PRINT, now=2.0), Full)
+    assert isinstance(table.admit(refused, fingerprint=PRINT, now=2.0), TableFull)
     later = 3.0 + LIFETIME_S
     minted_later = table.key_home(later).mint(random="later-123")
     assert isinstance(table.admit(minted_later, fingerprint=PRINT, now=later), Run)
--- a/lagoonlever/tests/claims_machine.py
+++ b/lagoonlever/tests/claims_machine.py
@@ -10,7 +10,7 @@
 
 from lagoonlever.decisions.claims.claims import (
     RECORD_BYTES,
-    Full,
+    TableFull,
     KeyTable,
     InProgress,
     KeyRecord,
@@ -214,7 +214,7 @@
             copy.record = admission.record
         elif isinstance(admission, RepeatAnswer):
             self.tell(copy, admission.answer)
-        elif isinstance(admission, Full):
+        elif isinstance(admission, TableFull):
             self.tell(copy, NOT_RUN)
         elif not isinstance(admission, InProgress):
             self.tell(copy, UNKNOWN)
