--- a/lagoonlever/decisions/claims/keys.py
+++ b/lagoonlever/decisions/claims/keys.py
@@ -29,18 +29,18 @@
 
 @attrs.frozen(kw_only=True)
 class HomedKey:
-    """A key whose request only ``home`` may dispatch, and never after ``expires_life_s``.
+    """A key whose request only ``home`` may dispatch, and never after ``expires_at_age_s``.
 
     The expiry counts whole seconds of the home's own life, so that it needs no
     agreement of clocks between callers and VMs.
     """
 
     home: Incarnation
-    expires_life_s: int
+    expires_at_age_s: int
     random: str
 
     def __str__(self) -> str:
-        return f"{self.home}:{self.expires_life_s}:{self.random}"
+        return f"{self.home}:{self.expires_at_age_s}:{self.random}"
 
 
 @attrs.frozen(kw_only=True)
@@ -60,7 +60,9 @@
 
     def mint(self, *, random: str) -> HomedKey:
         """Give a new key; ``random`` is 8 to 64 characters that no other key carries."""
-        return HomedKey(home=self.home, expires_life_s=self.life_s + self.lifetime_s, random=random)
+        return HomedKey(
+            home=self.home, expires_at_age_s=self.life_s + self.lifetime_s, random=random
+        )
 
 
 def parse_homed(text: str) -> HomedKey | None:
@@ -70,7 +72,7 @@
         return None
     return HomedKey(
         home=Incarnation.parse(match["home"]),
-        expires_life_s=int(match["expires"]),
+        expires_at_age_s=int(match["expires"]),
         random=match["random"],
     )
 
