--- a/lagoonlever/client/service_calls.py
+++ b/lagoonlever/client/service_calls.py
@@ -121,7 +121,7 @@
             return drawn
         home = KeyHome(
             home=Incarnation.parse(entry.key_home.home),
-            life_s=entry.key_home.life_s,
+            age_s=entry.key_home.life_s,
             lifetime_s=entry.key_home.lifetime_s,
         )
         return str(home.mint(random=drawn))
--- a/lagoonlever/decisions/claims/claims.py
+++ b/lagoonlever/decisions/claims/claims.py
@@ -143,7 +143,7 @@
 
     def key_home(self, now: float) -> KeyHome:
         """Give what callers need to mint keys of this home."""
-        return KeyHome(home=self._own, life_s=int(self.age_s(now)), lifetime_s=self._lifetime_s)
+        return KeyHome(home=self._own, age_s=int(self.age_s(now)), lifetime_s=self._lifetime_s)
 
     def has_expired(self, key: HomedKey, now: float) -> bool:
         """Tell whether a key must not be run any more."""
--- a/lagoonlever/decisions/claims/keys.py
+++ b/lagoonlever/decisions/claims/keys.py
@@ -55,13 +55,13 @@
     """What a caller needs to mint keys: the home, its life so far, and how long keys live."""
 
     home: Incarnation
-    life_s: int
+    age_s: int
     lifetime_s: int = KEY_LIFETIME_S
 
     def mint(self, *, random: str) -> HomedKey:
         """Give a new key; ``random`` is 8 to 64 characters that no other key carries."""
         return HomedKey(
-            home=self.home, expires_at_age_s=self.life_s + self.lifetime_s, random=random
+            home=self.home, expires_at_age_s=self.age_s + self.lifetime_s, random=random
         )
 
 
--- a/lagoonlever/tests/claims_keys_tests.py
+++ b/lagoonlever/tests/claims_keys_tests.py
@@ -66,14 +66,14 @@
 
 
 def test_keys_read_as_they_were_minted() -> None:
-    key = KeyHome(home=OWN, life_s=7).mint(random="a-b_c1234")
+    key = KeyHome(home=OWN, age_s=7).mint(random="a-b_c1234")
     assert parse_key(str(key)) == key
     assert parse_key("bid-17") == PlainKey(text="bid-17")
 
 
 def test_copies_of_one_key_share_a_claim_and_groups_are_bounded() -> None:
     queue = ClaimQueue()
-    home = KeyHome(home=OWN, life_s=0)
+    home = KeyHome(home=OWN, age_s=0)
     for number in range(GROUP_KEYS + 5):
         claim = Claim(scope=f"s{number}", proposed=home.mint(random=f"random-{number}"))
         assert queue.add(claim) and queue.add(claim)
@@ -85,6 +85,6 @@
 def test_a_forgotten_binding_is_only_read_again() -> None:
     bindings = Bindings(limit=2)
     for number in range(3):
-        bindings.learn(f"s{number}", KeyHome(home=OWN, life_s=0).mint(random=f"random-{number}"))
+        bindings.learn(f"s{number}", KeyHome(home=OWN, age_s=0).mint(random=f"random-{number}"))
     assert bindings.get("s0") is None
     assert bindings.get("s2") is not None
