--- a/lagoonlever/decisions/claims/keys.py
+++ b/lagoonlever/decisions/claims/keys.py
@@ -65,7 +65,7 @@
         )
 
 
-def parse_homed(text: str) -> HomedKey | None:
+def parse_homed_key(text: str) -> HomedKey | None:
     """Read a key with a home, or give None."""
     match = _HOMED.match(text)
     if match is None:
@@ -79,7 +79,7 @@
 
 def parse_key(text: str) -> HomedKey | PlainKey:
     """Read the header's value; raises ``RequestRefused`` naming the header."""
-    homed = parse_homed(text)
+    homed = parse_homed_key(text)
     if homed is not None:
         return homed
     if _PLAIN.match(text) is None:
--- a/lagoonlever/entry/fleet/claims.py
+++ b/lagoonlever/entry/fleet/claims.py
@@ -20,7 +20,7 @@
     ClaimResult,
     Unbound,
 )
-from lagoonlever.decisions.claims.keys import HomedKey, KeyHome, parse_homed
+from lagoonlever.decisions.claims.keys import HomedKey, KeyHome, parse_homed_key
 from lagoonlever.entry.services.events import CLAIMS_FAIL
 from lagoonlever.entry.services.settings import ServiceSettings
 from lagoonlever.exceptions import PlatformAnswerLost, PlatformError
@@ -131,7 +131,7 @@
             home = (
                 claim.proposed
                 if found is None
-                else parse_homed(found.value.decode("utf-8", "replace"))
+                else parse_homed_key(found.value.decode("utf-8", "replace"))
             )
             if home is not None:
                 homes[claim.scope] = home
--- a/lagoonlever/entry/services/copies.py
+++ b/lagoonlever/entry/services/copies.py
@@ -11,7 +11,7 @@
     CopyFound,
     successors,
 )
-from lagoonlever.decisions.claims.keys import HomedKey, parse_homed
+from lagoonlever.decisions.claims.keys import HomedKey, parse_homed_key
 from lagoonlever.decisions.membership.membership import Member, MemberView
 from lagoonlever.entry.services.call import outcome_of_tag
 from lagoonlever.http.messages import Headers
@@ -58,7 +58,7 @@
         )
 
     def _keep(self, message: KeyAnswer) -> None:
-        key = parse_homed(message.key)
+        key = parse_homed_key(message.key)
         outcome = _outcome_of(message)
         if key is None or outcome is None:
             return
--- a/lagoonlever/entry/services/keys.py
+++ b/lagoonlever/entry/services/keys.py
@@ -13,7 +13,7 @@
     HomedKey,
     PlainKey,
     fingerprint_of,
-    parse_homed,
+    parse_homed_key,
     parse_key,
     scope_of,
 )
@@ -58,7 +58,7 @@
 
     async def _forwarded(self, call: ServiceCall, homed_text: str) -> StoredAnswer:
         """Answer what another VM forwarded; never forward it on, so that none goes in circles."""
-        key = parse_homed(homed_text)
+        key = parse_homed_key(homed_text)
         if key is None:
             raise RequestRefused(
                 status=400, field=HOMED_KEY_HEADER, message="is no key with a home"
