--- a/lagoonlever/decisions/claims/keys.py
+++ b/lagoonlever/decisions/claims/keys.py
@@ -89,7 +89,7 @@
     return PlainKey(text=text)
 
 
-def scope_of(key: PlainKey, *, service: str, credential: str) -> str:
+def claim_scope(key: PlainKey, *, service: str, credential: str) -> str:
     """Name a plain key among all callers' keys, so that two callers' keys never meet."""
     digest = hashlib.sha256("\0".join((credential, service, key.text)).encode())
     return digest.hexdigest()[:40]
--- a/lagoonlever/entry/services/keys.py
+++ b/lagoonlever/entry/services/keys.py
@@ -15,7 +15,7 @@
     fingerprint_of,
     parse_homed_key,
     parse_key,
-    scope_of,
+    claim_scope,
 )
 from lagoonlever.decisions.membership.membership import MemberView
 from lagoonlever.entry.fleet.claims import Claims
@@ -73,7 +73,7 @@
         have been bound and run through another VM, which can't be looked up now.
         """
         credential = call.request.headers.get("Authorization", "") or ""
-        scope = scope_of(key, service=call.service.name, credential=credential)
+        scope = claim_scope(key, service=call.service.name, credential=credential)
         bound: ClaimResult = Unbound()
         with trio.move_on_after(call.left_s(self._timers.now)):
             bound = await self._claims.bind(scope)
