--- a/lagoonlever/decisions/claims/keys.py
+++ b/lagoonlever/decisions/claims/keys.py
@@ -95,7 +95,7 @@
     return digest.hexdigest()[:40]
 
 
-def fingerprint_of(request: Request) -> bytes:
+def request_fingerprint(request: Request) -> bytes:
     """Digest all that makes two requests the same: method, path, query, caller and body.
 
     The caller's credential is part of it, so that nobody reads another
--- a/lagoonlever/entry/services/keyed.py
+++ b/lagoonlever/entry/services/keyed.py
@@ -22,7 +22,7 @@
     StoredAnswer,
     ExpiryTooFar,
 )
-from lagoonlever.decisions.claims.keys import KEY_HEADER, HomedKey, fingerprint_of
+from lagoonlever.decisions.claims.keys import KEY_HEADER, HomedKey, request_fingerprint
 from lagoonlever.decisions.targets.targets import Target
 from lagoonlever.entry.services.answers import (
     RETRY_NEW_KEY,
@@ -88,7 +88,7 @@
     async def call(self, call: ServiceCall, key: HomedKey) -> StoredAnswer:
         """Run a request under a key of this home, or tell what has become of it."""
         admission = self._table.admit(
-            key, fingerprint=fingerprint_of(call.request), now=self._timers.now
+            key, fingerprint=request_fingerprint(call.request), now=self._timers.now
         )
         match admission:
             case Run(record=record):
--- a/lagoonlever/entry/services/keys.py
+++ b/lagoonlever/entry/services/keys.py
@@ -12,7 +12,7 @@
     KEY_HEADER,
     HomedKey,
     PlainKey,
-    fingerprint_of,
+    request_fingerprint,
     parse_homed_key,
     parse_key,
     claim_scope,
@@ -114,7 +114,7 @@
         return None
 
     def _own_copy(self, call: ServiceCall, key: HomedKey) -> StoredAnswer | None:
-        found = self._copier.find(key, fingerprint=fingerprint_of(call.request))
+        found = self._copier.find(key, fingerprint=request_fingerprint(call.request))
         if isinstance(found, Copied):
             return found.answer
         return used_for_another() if isinstance(found, OtherRequest) else None
