--- a/lagoonlever/decisions/claims/copies.py
+++ b/lagoonlever/decisions/claims/copies.py
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Copied:
+class CopiedAnswer:
     """The answer of this key."""
 
     answer: StoredAnswer
@@ -59,7 +59,7 @@
     """There is no copy here, which says nothing about what ran."""
 
 
-CopyFound = Copied | OtherRequest | NoCopy
+CopyFound = CopiedAnswer | OtherRequest | NoCopy
 
 
 @attrs.frozen(kw_only=True)
@@ -98,4 +98,4 @@
             return NoCopy()
         if copy.fingerprint != fingerprint:
             return OtherRequest()
-        return Copied(answer=copy.answer)
+        return CopiedAnswer(answer=copy.answer)
--- a/lagoonlever/entry/services/keys.py
+++ b/lagoonlever/entry/services/keys.py
@@ -6,7 +6,7 @@
 import trio
 
 from lagoonlever.decisions.claims.claims import StoredAnswer
-from lagoonlever.decisions.claims.copies import Copied, OtherRequest
+from lagoonlever.decisions.claims.copies import CopiedAnswer, OtherRequest
 from lagoonlever.decisions.claims.group import ClaimResult, Unbound
 from lagoonlever.decisions.claims.keys import (
     KEY_HEADER,
@@ -115,7 +115,7 @@
 
     def _own_copy(self, call: ServiceCall, key: HomedKey) -> StoredAnswer | None:
         found = self._copier.find(key, fingerprint=request_fingerprint(call.request))
-        if isinstance(found, Copied):
+        if isinstance(found, CopiedAnswer):
             return found.answer
         return used_for_another() if isinstance(found, OtherRequest) else None
 
