--- a/lagoonlever/decisions/claims/copies.py
+++ b/lagoonlever/decisions/claims/copies.py
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class OtherRequest:
+class MismatchedCopy:
     """The key was used for another request."""
 
 
@@ -59,7 +59,7 @@
     """There is no copy here, which says nothing about what ran."""
 
 
-CopyFound = CopiedAnswer | OtherRequest | NoCopy
+CopyFound = CopiedAnswer | MismatchedCopy | NoCopy
 
 
 @attrs.frozen(kw_only=True)
@@ -97,5 +97,5 @@
         if copy is None:
             return NoCopy()
         if copy.fingerprint != fingerprint:
-            return OtherRequest()
+            return MismatchedCopy()
         return CopiedAnswer(answer=copy.answer)
--- a/lagoonlever/entry/services/keys.py
+++ b/lagoonlever/entry/services/keys.py
@@ -6,7 +6,7 @@
 import trio
 
 from lagoonlever.decisions.claims.claims import StoredAnswer
-from lagoonlever.decisions.claims.copies import CopiedAnswer, OtherRequest
+from lagoonlever.decisions.claims.copies import CopiedAnswer, MismatchedCopy
 from lagoonlever.decisions.claims.group import ClaimResult, Unbound
 from lagoonlever.decisions.claims.keys import (
     KEY_HEADER,
@@ -117,7 +117,7 @@
         found = self._copier.find(key, fingerprint=request_fingerprint(call.request))
         if isinstance(found, CopiedAnswer):
             return found.answer
-        return used_for_another() if isinstance(found, OtherRequest) else None
+        return used_for_another() if isinstance(found, MismatchedCopy) else None
 
 
 def _home_unreachable(answer: StoredAnswer) -> bool:
