--- a/lagoonlever/decisions/claims/copies.py
+++ b/lagoonlever/decisions/claims/copies.py
@@ -59,7 +59,7 @@
     """There is no copy here, which says nothing about what ran."""
 
 
-CopyFound = CopiedAnswer | MismatchedCopy | NoCopy
+CopyLookup = CopiedAnswer | MismatchedCopy | NoCopy
 
 
 @attrs.frozen(kw_only=True)
@@ -91,7 +91,7 @@
             _, oldest = self._copies.popitem(last=False)
             self._used_bytes -= RECORD_BYTES + oldest.answer.size_bytes
 
-    def find(self, key: HomedKey, *, fingerprint: bytes) -> CopyFound:
+    def find(self, key: HomedKey, *, fingerprint: bytes) -> CopyLookup:
         """Look for a key's answer."""
         copy = self._copies.get(key)
         if copy is None:
--- a/lagoonlever/entry/services/copies.py
+++ b/lagoonlever/entry/services/copies.py
@@ -8,7 +8,7 @@
 from lagoonlever.decisions.claims.copies import (
     MAX_COPIED_BYTES,
     AnswerCopies,
-    CopyFound,
+    CopyLookup,
     successors,
 )
 from lagoonlever.decisions.claims.keys import HomedKey, parse_homed_key
@@ -46,7 +46,7 @@
         for member in successors(record.key.home, self._members.value):
             self._bus.send(member.peers, message)
 
-    def find(self, key: HomedKey, *, fingerprint: bytes) -> CopyFound:
+    def find(self, key: HomedKey, *, fingerprint: bytes) -> CopyLookup:
         """Look for another home's answer here."""
         return self._copies.find(key, fingerprint=fingerprint)
 
