--- a/lagoonlever/decisions/claims/copies.py
+++ b/lagoonlever/decisions/claims/copies.py
@@ -24,7 +24,7 @@
 COPIES_BYTES = 8 * 1024 * 1024
 
 
-def successors(home: Incarnation, view: MemberView) -> tuple[Member, ...]:
+def choose_copy_holders(home: Incarnation, view: MemberView) -> tuple[Member, ...]:
     """Give the members that keep copies for a home, by rendezvous hashing.
 
     Other data centres than the home's come first as far as the home is known,
--- a/lagoonlever/entry/services/copies.py
+++ b/lagoonlever/entry/services/copies.py
@@ -9,7 +9,7 @@
     MAX_COPIED_BYTES,
     AnswerCopies,
     CopyLookup,
-    successors,
+    choose_copy_holders,
 )
 from lagoonlever.decisions.claims.keys import HomedKey, parse_homed_key
 from lagoonlever.decisions.membership.membership import Member, MemberView
@@ -43,7 +43,7 @@
         if record.answer.size_bytes > MAX_COPIED_BYTES:
             return
         message = _message_of(record, record.answer)
-        for member in successors(record.key.home, self._members.value):
+        for member in choose_copy_holders(record.key.home, self._members.value):
             self._bus.send(member.peers, message)
 
     def find(self, key: HomedKey, *, fingerprint: bytes) -> CopyLookup:
@@ -54,7 +54,9 @@
         """Give the other members that may keep a copy of a key's answer."""
         view = self._members.value
         return tuple(
-            member for member in successors(key.home, view) if member.incarnation != view.own
+            member
+            for member in choose_copy_holders(key.home, view)
+            if member.incarnation != view.own
         )
 
     def _keep(self, message: KeyAnswer) -> None:
