--- a/lagoonlever/decisions/claims/copies.py
+++ b/lagoonlever/decisions/claims/copies.py
@@ -81,7 +81,7 @@
         """The memory that the copies take, about."""
         return self._used_bytes
 
-    def keep(self, key: HomedKey, *, fingerprint: bytes, answer: StoredAnswer) -> None:
+    def store(self, key: HomedKey, *, fingerprint: bytes, answer: StoredAnswer) -> None:
         """Keep a copy; the first one of a key stands."""
         if key in self._copies:
             return
--- a/lagoonlever/entry/services/copies.py
+++ b/lagoonlever/entry/services/copies.py
@@ -70,7 +70,7 @@
             headers=Headers(tuple((field.name, field.value) for field in message.headers)),
             body=message.body,
         )
-        self._copies.keep(key, fingerprint=message.fingerprint, answer=answer)
+        self._copies.store(key, fingerprint=message.fingerprint, answer=answer)
 
 
 def _outcome_of(message: KeyAnswer) -> Outcome | None:
