--- a/lagoonlever/decisions/claims/dispatch.py
+++ b/lagoonlever/decisions/claims/dispatch.py
@@ -10,7 +10,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class WriteFacts:
+class WriteContext:
     """All that the last check looks at, read in the same step as the write.
 
     ``deadline`` and ``key_expires_at`` are monotonic times in seconds or None;
@@ -50,7 +50,7 @@
 WriteDecision = Write | CheckAgain | ChooseAgain | Refuse
 
 
-def decide_write(facts: WriteFacts) -> WriteDecision:
+def decide_write(facts: WriteContext) -> WriteDecision:
     """Decide whether a request may be written at this moment.
 
     Guards against a process that is frozen between its decision and its write:
--- a/lagoonlever/entry/services/dispatch.py
+++ b/lagoonlever/entry/services/dispatch.py
@@ -15,7 +15,7 @@
     Refuse,
     Write,
     WriteDecision,
-    WriteFacts,
+    WriteContext,
     decide_write,
 )
 from lagoonlever.decisions.targets.targets import Target, TargetState, TargetView
@@ -130,7 +130,7 @@
         self, call: ServiceCall, target: Target, key_expires_at: float | None
     ) -> WriteDecision:
         return decide_write(
-            WriteFacts(
+            WriteContext(
                 now=self._timers.now,
                 deadline=call.deadline,
                 key_expires_at=key_expires_at,
--- a/lagoonlever/tests/claims_keys_tests.py
+++ b/lagoonlever/tests/claims_keys_tests.py
@@ -10,7 +10,7 @@
     ChooseAgain,
     Refuse,
     Write,
-    WriteFacts,
+    WriteContext,
     decide_write,
 )
 from lagoonlever.decisions.claims.group import GROUP_KEYS, Bindings, Claim, ClaimQueue
@@ -47,14 +47,14 @@
 @pytest.mark.parametrize(
     ("facts", "decision"),
     [
-        (WriteFacts(now=1.0, target_live=True), Write),
-        (WriteFacts(now=1.0, target_live=False), ChooseAgain),
-        (WriteFacts(now=1.0, target_live=True, paused_s=5.0), CheckAgain),
-        (WriteFacts(now=9.0, target_live=True, deadline=8.0, paused_s=5.0), Refuse),
-        (WriteFacts(now=9.0, target_live=True, key_expires_at=8.0), Refuse),
+        (WriteContext(now=1.0, target_live=True), Write),
+        (WriteContext(now=1.0, target_live=False), ChooseAgain),
+        (WriteContext(now=1.0, target_live=True, paused_s=5.0), CheckAgain),
+        (WriteContext(now=9.0, target_live=True, deadline=8.0, paused_s=5.0), Refuse),
+        (WriteContext(now=9.0, target_live=True, key_expires_at=8.0), Refuse),
     ],
 )
-def test_the_last_check_before_the_write(facts: WriteFacts, decision: type[object]) -> None:
+def test_the_last_check_before_the_write(facts: WriteContext, decision: type[object]) -> None:
     assert isinstance(decide_write(facts), decision)
 
 
--- a/lagoonlever/tests/claims_machine.py
+++ b/lagoonlever/tests/claims_machine.py
@@ -19,7 +19,7 @@
     Run,
     StoredAnswer,
 )
-from lagoonlever.decisions.claims.dispatch import Refuse, Write, WriteFacts, decide_write
+from lagoonlever.decisions.claims.dispatch import Refuse, Write, WriteContext, decide_write
 from lagoonlever.decisions.claims.keys import HomedKey
 from lagoonlever.history.checkers import at_most_once, not_run
 from lagoonlever.history.events import HistoryEvent
@@ -236,7 +236,7 @@
     def check_and_write(self, copy: Copy, record: KeyRecord, choice: int) -> None:
         expires_at = self.now + record.key.expires_life_s - copy.life.table.life_s(self.now)
         decision = decide_write(
-            WriteFacts(
+            WriteContext(
                 now=self.now,
                 target_live=choice != 1,
                 deadline=copy.deadline,
