--- a/lagoonlever/decisions/claims/dispatch.py
+++ b/lagoonlever/decisions/claims/dispatch.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class CheckAgain:
+class RefreshTargets:
     """What this process knows of the targets may be old: learn it again, then check."""
 
 
@@ -47,7 +47,7 @@
     message: str
 
 
-WriteDecision = Write | CheckAgain | ChooseAgain | Refuse
+WriteDecision = Write | RefreshTargets | ChooseAgain | Refuse
 
 
 def decide_write(facts: WriteContext) -> WriteDecision:
@@ -63,7 +63,7 @@
     if facts.key_expires_at is not None and facts.now >= facts.key_expires_at:
         return Refuse(reason=Reason.KEY_EXPIRED, message="its key expired before it was sent")
     if facts.paused_s > 0:
-        return CheckAgain()
+        return RefreshTargets()
     if not facts.target_live:
         return ChooseAgain()
     return Write()
--- a/lagoonlever/entry/services/dispatch.py
+++ b/lagoonlever/entry/services/dispatch.py
@@ -10,7 +10,7 @@
 from lagoonlever.decisions.admission.runners import Runners
 from lagoonlever.decisions.claims.claims import StoredAnswer
 from lagoonlever.decisions.claims.dispatch import (
-    CheckAgain,
+    RefreshTargets,
     ChooseAgain,
     Refuse,
     Write,
@@ -121,7 +121,7 @@
         no longer recent gives its owner the time to renew it.
         """
         decision = self._decide(call, target, key_expires_at)
-        while isinstance(decision, CheckAgain):
+        while isinstance(decision, RefreshTargets):
             await trio.sleep(TICK_S)
             decision = self._decide(call, target, key_expires_at)
         return decision
--- a/lagoonlever/tests/claims_keys_tests.py
+++ b/lagoonlever/tests/claims_keys_tests.py
@@ -6,7 +6,7 @@
 
 from lagoonlever.decisions.claims.claims import TableFull, FingerprintMismatch, Run
 from lagoonlever.decisions.claims.dispatch import (
-    CheckAgain,
+    RefreshTargets,
     ChooseAgain,
     Refuse,
     Write,
@@ -49,7 +49,7 @@
     [
         (WriteContext(now=1.0, target_live=True), Write),
         (WriteContext(now=1.0, target_live=False), ChooseAgain),
-        (WriteContext(now=1.0, target_live=True, paused_s=5.0), CheckAgain),
+        (WriteContext(now=1.0, target_live=True, paused_s=5.0), RefreshTargets),
         (WriteContext(now=9.0, target_live=True, deadline=8.0, paused_s=5.0), Refuse),
         (WriteContext(now=9.0, target_live=True, key_expires_at=8.0), Refuse),
     ],
