--- a/lagoonlever/decisions/claims/dispatch.py
+++ b/lagoonlever/decisions/claims/dispatch.py
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class ChooseAgain:
+class ChooseOtherTarget:
     """The target must not be given new work."""
 
 
@@ -47,7 +47,7 @@
     message: str
 
 
-WriteDecision = Write | RefreshTargets | ChooseAgain | Refuse
+WriteDecision = Write | RefreshTargets | ChooseOtherTarget | Refuse
 
 
 def decide_write(facts: WriteContext) -> WriteDecision:
@@ -65,5 +65,5 @@
     if facts.paused_s > 0:
         return RefreshTargets()
     if not facts.target_live:
-        return ChooseAgain()
+        return ChooseOtherTarget()
     return Write()
--- a/lagoonlever/entry/services/dispatch.py
+++ b/lagoonlever/entry/services/dispatch.py
@@ -11,7 +11,7 @@
 from lagoonlever.decisions.claims.claims import StoredAnswer
 from lagoonlever.decisions.claims.dispatch import (
     RefreshTargets,
-    ChooseAgain,
+    ChooseOtherTarget,
     Refuse,
     Write,
     WriteDecision,
@@ -101,7 +101,7 @@
         self._guard.connected(target)
         try:
             decision = await self._check(call, target, key_expires_at)
-            if isinstance(decision, ChooseAgain):
+            if isinstance(decision, ChooseOtherTarget):
                 return None
             if isinstance(decision, Refuse):
                 return self._refused(decision)
@@ -114,7 +114,7 @@
 
     async def _check(
         self, call: ServiceCall, target: Target, key_expires_at: float | None
-    ) -> Write | ChooseAgain | Refuse:
+    ) -> Write | ChooseOtherTarget | Refuse:
         """Check until the decision is final; nothing awaits between it and the write.
 
         After a pause the view of the targets is old; waiting until the pause is
--- a/lagoonlever/tests/claims_keys_tests.py
+++ b/lagoonlever/tests/claims_keys_tests.py
@@ -7,7 +7,7 @@
 from lagoonlever.decisions.claims.claims import TableFull, FingerprintMismatch, Run
 from lagoonlever.decisions.claims.dispatch import (
     RefreshTargets,
-    ChooseAgain,
+    ChooseOtherTarget,
     Refuse,
     Write,
     WriteContext,
@@ -48,7 +48,7 @@
     ("facts", "decision"),
     [
         (WriteContext(now=1.0, target_live=True), Write),
-        (WriteContext(now=1.0, target_live=False), ChooseAgain),
+        (WriteContext(now=1.0, target_live=False), ChooseOtherTarget),
         (WriteContext(now=1.0, target_live=True, paused_s=5.0), RefreshTargets),
         (WriteContext(now=9.0, target_live=True, deadline=8.0, paused_s=5.0), Refuse),
         (WriteContext(now=9.0, target_live=True, key_expires_at=8.0), Refuse),
