--- a/lagoonlever/decisions/claims/group.py
+++ b/lagoonlever/decisions/claims/group.py
@@ -35,11 +35,11 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Unbound:
+class BindingUnknown:
     """It is not known whether the claim was applied; nothing may run on it."""
 
 
-ClaimResult = Bound | Unbound
+ClaimResult = Bound | BindingUnknown
 
 
 @attrs.define(kw_only=True)
--- a/lagoonlever/entry/fleet/claims.py
+++ b/lagoonlever/entry/fleet/claims.py
@@ -18,7 +18,7 @@
     Claim,
     ClaimQueue,
     ClaimResult,
-    Unbound,
+    BindingUnknown,
 )
 from lagoonlever.decisions.claims.keys import HomedKey, KeyHome, parse_homed_key
 from lagoonlever.entry.services.events import CLAIMS_FAIL
@@ -42,7 +42,7 @@
     """The copies that wait for one claim."""
 
     done: trio.Event = attrs.field(factory=trio.Event)
-    result: ClaimResult = attrs.field(factory=Unbound)
+    result: ClaimResult = attrs.field(factory=BindingUnknown)
 
 
 @attrs.define(kw_only=True)
@@ -72,12 +72,12 @@
         if known is not None:
             return Bound(home=known)
         if self._timers.now < self._down_until:
-            return Unbound()
+            return BindingUnknown()
         waiting = self._waiting.get(scope)
         if waiting is None:
             proposed = self.key_home.mint(random=scope)
             if not self._queue.add(Claim(scope=scope, proposed=proposed)):
-                return Unbound()
+                return BindingUnknown()
             waiting = self._waiting.setdefault(scope, _Waiting())
             self._more.set()
         await waiting.done.wait()
--- a/lagoonlever/entry/services/keys.py
+++ b/lagoonlever/entry/services/keys.py
@@ -7,7 +7,7 @@
 
 from lagoonlever.decisions.claims.claims import StoredAnswer
 from lagoonlever.decisions.claims.copies import CopiedAnswer, MismatchedCopy
-from lagoonlever.decisions.claims.group import ClaimResult, Unbound
+from lagoonlever.decisions.claims.group import ClaimResult, BindingUnknown
 from lagoonlever.decisions.claims.keys import (
     KEY_HEADER,
     HomedKey,
@@ -74,10 +74,10 @@
         """
         credential = call.request.headers.get("Authorization", "") or ""
         scope = claim_scope(key, service=call.service.name, credential=credential)
-        bound: ClaimResult = Unbound()
+        bound: ClaimResult = BindingUnknown()
         with trio.move_on_after(call.left_s(self._timers.now)):
             bound = await self._claims.bind(scope)
-        if isinstance(bound, Unbound):
+        if isinstance(bound, BindingUnknown):
             return unknown(
                 Reason.PLATFORM_DOWN,
                 "this copy was not run, but whether another one was can't be found out now;"
