--- a/lagoonlever/decisions/claims/group.py
+++ b/lagoonlever/decisions/claims/group.py
@@ -81,7 +81,7 @@
         """Give the home of a plain key if it is known here."""
         return self._homes.get(scope)
 
-    def learn(self, scope: str, home: HomedKey) -> None:
+    def record(self, scope: str, home: HomedKey) -> None:
         """Remember a binding; the oldest is forgotten first, at the price of a read."""
         if len(self._homes) >= self._limit:
             self._homes.pop(next(iter(self._homes)))
--- a/lagoonlever/entry/fleet/claims.py
+++ b/lagoonlever/entry/fleet/claims.py
@@ -154,6 +154,6 @@
     def _tell(self, claim: Claim, home: HomedKey | None) -> None:
         waiting = self._waiting.pop(claim.scope)
         if home is not None:
-            self._bindings.learn(claim.scope, home)
+            self._bindings.record(claim.scope, home)
             waiting.result = Bound(home=home)
         waiting.done.set()
--- a/lagoonlever/tests/claims_keys_tests.py
+++ b/lagoonlever/tests/claims_keys_tests.py
@@ -85,6 +85,6 @@
 def test_a_forgotten_binding_is_only_read_again() -> None:
     bindings = Bindings(limit=2)
     for number in range(3):
-        bindings.learn(f"s{number}", KeyHome(home=OWN, age_s=0).mint(random=f"random-{number}"))
+        bindings.record(f"s{number}", KeyHome(home=OWN, age_s=0).mint(random=f"random-{number}"))
     assert bindings.get("s0") is None
     assert bindings.get("s2") is not None
