--- a/lagoonlever/decisions/claims/group.py
+++ b/lagoonlever/decisions/claims/group.py
@@ -71,8 +71,8 @@
 
 
 @attrs.define(kw_only=True)
-class Bindings:
-    """Bindings that this VM has learnt, bounded; they never change, so a copy is never wrong."""
+class BindingCache:
+    """BindingCache that this VM has learnt, bounded; they never change, so a copy is never wrong."""
 
     _limit: int = 4096
     _homes: dict[str, HomedKey] = attrs.field(factory=dict)
--- a/lagoonlever/entry/fleet/claims.py
+++ b/lagoonlever/entry/fleet/claims.py
@@ -13,7 +13,7 @@
 
 from lagoonlever.decisions.claims.claims import KeyTable
 from lagoonlever.decisions.claims.group import (
-    Bindings,
+    BindingCache,
     Bound,
     Claim,
     ClaimQueue,
@@ -54,7 +54,7 @@
     _timers: TimerService
     _settings: ServiceSettings
     _queue: ClaimQueue = attrs.field(factory=ClaimQueue)
-    _bindings: Bindings = attrs.field(factory=Bindings)
+    _bindings: BindingCache = attrs.field(factory=BindingCache)
     _waiting: dict[str, _Waiting] = attrs.field(factory=dict)
     _more: trio.Event = attrs.field(factory=trio.Event)
     _lease: Lease | None = None
--- a/lagoonlever/tests/claims_keys_tests.py
+++ b/lagoonlever/tests/claims_keys_tests.py
@@ -13,7 +13,7 @@
     WriteContext,
     decide_write,
 )
-from lagoonlever.decisions.claims.group import GROUP_KEYS, Bindings, Claim, ClaimQueue
+from lagoonlever.decisions.claims.group import GROUP_KEYS, BindingCache, Claim, ClaimQueue
 from lagoonlever.decisions.claims.keys import KeyHome, PlainKey, parse_key
 from lagoonlever.exceptions import RequestRefused
 from lagoonlever.identity import Incarnation
@@ -83,7 +83,7 @@
 
 
 def test_a_forgotten_binding_is_only_read_again() -> None:
-    bindings = Bindings(limit=2)
+    bindings = BindingCache(limit=2)
     for number in range(3):
         bindings.record(f"s{number}", KeyHome(home=OWN, age_s=0).mint(random=f"random-{number}"))
     assert bindings.get("s0") is None
