--- a/lagoonlever/decisions/claims/group.py
+++ b/lagoonlever/decisions/claims/group.py
@@ -15,7 +15,7 @@
 
 from lagoonlever.decisions.claims.keys import HomedKey
 
-GROUP_KEYS = 64
+MAX_GROUP_KEYS = 64
 """Keys in one transaction; usual stores allow 128 operations."""
 
 
@@ -65,7 +65,9 @@
 
     def take_group(self) -> tuple[Claim, ...]:
         """Take the claims of the next transaction."""
-        group = tuple(self._waiting.popleft() for _ in range(min(GROUP_KEYS, len(self._waiting))))
+        group = tuple(
+            self._waiting.popleft() for _ in range(min(MAX_GROUP_KEYS, len(self._waiting)))
+        )
         self._scopes.difference_update(claim.scope for claim in group)
         return group
 
--- a/lagoonlever/tests/claims_keys_tests.py
+++ b/lagoonlever/tests/claims_keys_tests.py
@@ -13,7 +13,7 @@
     WriteContext,
     decide_write,
 )
-from lagoonlever.decisions.claims.group import GROUP_KEYS, BindingCache, Claim, ClaimQueue
+from lagoonlever.decisions.claims.group import MAX_GROUP_KEYS, BindingCache, Claim, ClaimQueue
 from lagoonlever.decisions.claims.keys import KeyHome, PlainKey, parse_key
 from lagoonlever.exceptions import RequestRefused
 from lagoonlever.identity import Incarnation
@@ -74,10 +74,10 @@
 def test_copies_of_one_key_share_a_claim_and_groups_are_bounded() -> None:
     queue = ClaimQueue()
     home = KeyHome(home=OWN, age_s=0)
-    for number in range(GROUP_KEYS + 5):
+    for number in range(MAX_GROUP_KEYS + 5):
         claim = Claim(scope=f"s{number}", proposed=home.mint(random=f"random-{number}"))
         assert queue.add(claim) and queue.add(claim)
-    assert len(queue.take_group()) == GROUP_KEYS
+    assert len(queue.take_group()) == MAX_GROUP_KEYS
     assert len(queue.take_group()) == 5
     assert queue.take_group() == ()
 
