--- a/lagoonlever/decisions/claims/copies.py
+++ b/lagoonlever/decisions/claims/copies.py
@@ -13,7 +13,7 @@
 import attrs
 import xxhash
 
-from lagoonlever.decisions.claims.claims import RECORD_BYTES, StoredAnswer
+from lagoonlever.decisions.claims.key_table import RECORD_BYTES, StoredAnswer
 from lagoonlever.decisions.claims.keys import HomedKey
 from lagoonlever.decisions.membership.membership import Member, MemberView
 from lagoonlever.identity import Incarnation
--- a/lagoonlever/entry/fleet/claims.py
+++ b/lagoonlever/entry/fleet/claims.py
@@ -11,7 +11,7 @@
 import logbook
 import trio
 
-from lagoonlever.decisions.claims.claims import KeyTable
+from lagoonlever.decisions.claims.key_table import KeyTable
 from lagoonlever.decisions.claims.group import (
     BindingCache,
     Bound,
--- a/lagoonlever/entry/services/answers.py
+++ b/lagoonlever/entry/services/answers.py
@@ -9,7 +9,7 @@
 import attrs
 
 from lagoonlever.decisions.admission.limits import retry_after_s
-from lagoonlever.decisions.claims.claims import StoredAnswer
+from lagoonlever.decisions.claims.key_table import StoredAnswer
 from lagoonlever.http.messages import Headers
 from lagoonlever.http.refusals import JSON_TYPE
 from lagoonlever.http.server import Exchange
--- a/lagoonlever/entry/services/call.py
+++ b/lagoonlever/entry/services/call.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from lagoonlever.decisions.claims.claims import StoredAnswer
+from lagoonlever.decisions.claims.key_table import StoredAnswer
 from lagoonlever.decisions.claims.keys import KEY_HEADER
 from lagoonlever.entry.services.settings import Service
 from lagoonlever.exceptions import RequestRefused
--- a/lagoonlever/entry/services/copies.py
+++ b/lagoonlever/entry/services/copies.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from lagoonlever.decisions.claims.claims import KeyRecord, StoredAnswer
+from lagoonlever.decisions.claims.key_table import KeyRecord, StoredAnswer
 from lagoonlever.decisions.claims.copies import (
     MAX_COPIED_BYTES,
     AnswerCopies,
--- a/lagoonlever/entry/services/dispatch.py
+++ b/lagoonlever/entry/services/dispatch.py
@@ -8,7 +8,7 @@
 import trio
 
 from lagoonlever.decisions.admission.runners import Runners
-from lagoonlever.decisions.claims.claims import StoredAnswer
+from lagoonlever.decisions.claims.key_table import StoredAnswer
 from lagoonlever.decisions.claims.dispatch import (
     RefreshTargets,
     ChooseOtherTarget,
--- a/lagoonlever/entry/services/forward.py
+++ b/lagoonlever/entry/services/forward.py
@@ -5,7 +5,7 @@
 import attrs
 import trio
 
-from lagoonlever.decisions.claims.claims import StoredAnswer
+from lagoonlever.decisions.claims.key_table import StoredAnswer
 from lagoonlever.decisions.claims.keys import HomedKey
 from lagoonlever.decisions.membership.membership import Member, MemberState, MemberView
 from lagoonlever.entry.services.answers import ComeBack, unknown
--- a/lagoonlever/entry/services/keyed.py
+++ b/lagoonlever/entry/services/keyed.py
@@ -8,7 +8,7 @@
 import logbook
 import trio
 
-from lagoonlever.decisions.claims.claims import (
+from lagoonlever.decisions.claims.key_table import (
     KeyExpired,
     TableFull,
     KeyTable,
--- a/lagoonlever/entry/services/keys.py
+++ b/lagoonlever/entry/services/keys.py
@@ -5,7 +5,7 @@
 import attrs
 import trio
 
-from lagoonlever.decisions.claims.claims import StoredAnswer
+from lagoonlever.decisions.claims.key_table import StoredAnswer
 from lagoonlever.decisions.claims.copies import CopiedAnswer, MismatchedCopy
 from lagoonlever.decisions.claims.group import ClaimResult, BindingUnknown
 from lagoonlever.decisions.claims.keys import (
--- a/lagoonlever/entry/services/lookups.py
+++ b/lagoonlever/entry/services/lookups.py
@@ -9,7 +9,7 @@
 
 from lagoonlever.decisions.admission.hedging import HedgedCall, HedgeDelay, Send, Stop, Wait
 from lagoonlever.decisions.admission.runners import Runners
-from lagoonlever.decisions.claims.claims import StoredAnswer
+from lagoonlever.decisions.claims.key_table import StoredAnswer
 from lagoonlever.decisions.shares.budgets import FULL_RATIO, RetryBudget
 from lagoonlever.decisions.targets.targets import Target
 from lagoonlever.entry.engines.engines import TargetGuard
--- a/lagoonlever/entry/services/services.py
+++ b/lagoonlever/entry/services/services.py
@@ -13,7 +13,7 @@
 import trio
 
 from lagoonlever.decisions.admission.runners import Runners
-from lagoonlever.decisions.claims.claims import KeyTable, StoredAnswer
+from lagoonlever.decisions.claims.key_table import KeyTable, StoredAnswer
 from lagoonlever.decisions.claims.keys import (
     KEY_HEADER,
     KeyHome,
--- a/lagoonlever/tests/claims_keys_tests.py
+++ b/lagoonlever/tests/claims_keys_tests.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from lagoonlever.decisions.claims.claims import TableFull, FingerprintMismatch, Run
+from lagoonlever.decisions.claims.key_table import TableFull, FingerprintMismatch, Run
 from lagoonlever.decisions.claims.dispatch import (
     RefreshTargets,
     ChooseOtherTarget,
--- a/lagoonlever/tests/claims_machine.py
+++ b/lagoonlever/tests/claims_machine.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from lagoonlever.decisions.claims.claims import (
+from lagoonlever.decisions.claims.key_table import (
     RECORD_BYTES,
     TableFull,
     KeyTable,
