--- a/lagoonlever/entry/services/copies.py
+++ b/lagoonlever/entry/services/copies.py
@@ -5,7 +5,7 @@
 import attrs
 
 from lagoonlever.decisions.claims.key_table import KeyRecord, StoredAnswer
-from lagoonlever.decisions.claims.copies import (
+from lagoonlever.decisions.claims.answer_copies import (
     MAX_COPIED_BYTES,
     AnswerCopies,
     CopyLookup,
