--- a/lagoonlever/entry/services/dispatch.py
+++ b/lagoonlever/entry/services/dispatch.py
@@ -9,7 +9,7 @@
 
 from lagoonlever.decisions.admission.runners import Runners
 from lagoonlever.decisions.claims.key_table import StoredAnswer
-from lagoonlever.decisions.claims.dispatch import (
+from lagoonlever.decisions.claims.write_check import (
     RefreshTargets,
     ChooseOtherTarget,
     Refuse,
--- a/lagoonlever/tests/claims_keys_tests.py
+++ b/lagoonlever/tests/claims_keys_tests.py
@@ -5,7 +5,7 @@
 import pytest
 
 from lagoonlever.decisions.claims.key_table import TableFull, FingerprintMismatch, Run
-from lagoonlever.decisions.claims.dispatch import (
+from lagoonlever.decisions.claims.write_check import (
     RefreshTargets,
     ChooseOtherTarget,
     Refuse,
--- a/lagoonlever/tests/claims_machine.py
+++ b/lagoonlever/tests/claims_machine.py
@@ -19,7 +19,7 @@
     Run,
     StoredAnswer,
 )
-from lagoonlever.decisions.claims.dispatch import Refuse, Write, WriteContext, decide_write
+from lagoonlever.decisions.claims.write_check import Refuse, Write, WriteContext, decide_write
 from lagoonlever.decisions.claims.keys import HomedKey
 from lagoonlever.history.checkers import at_most_once, not_run
 from lagoonlever.history.events import HistoryEvent
