--- a/lagoonlever/entry/fleet/claims.py
+++ b/lagoonlever/entry/fleet/claims.py
@@ -12,7 +12,7 @@
 import trio
 
 from lagoonlever.decisions.claims.key_table import KeyTable
-from lagoonlever.decisions.claims.group import (
+from lagoonlever.decisions.claims.claim_queue import (
     BindingCache,
     Bound,
     Claim,
--- a/lagoonlever/entry/services/keys.py
+++ b/lagoonlever/entry/services/keys.py
@@ -7,7 +7,7 @@
 
 from lagoonlever.decisions.claims.key_table import StoredAnswer
 from lagoonlever.decisions.claims.answer_copies import CopiedAnswer, MismatchedCopy
-from lagoonlever.decisions.claims.group import ClaimResult, BindingUnknown
+from lagoonlever.decisions.claims.claim_queue import ClaimResult, BindingUnknown
 from lagoonlever.decisions.claims.keys import (
     KEY_HEADER,
     HomedKey,
--- a/lagoonlever/tests/claims_keys_tests.py
+++ b/lagoonlever/tests/claims_keys_tests.py
@@ -13,7 +13,7 @@
     WriteContext,
     decide_write,
 )
-from lagoonlever.decisions.claims.group import MAX_GROUP_KEYS, BindingCache, Claim, ClaimQueue
+from lagoonlever.decisions.claims.claim_queue import MAX_GROUP_KEYS, BindingCache, Claim, ClaimQueue
 from lagoonlever.decisions.claims.keys import KeyHome, PlainKey, parse_key
 from lagoonlever.exceptions import RequestRefused
 from lagoonlever.identity import Incarnation
