--- a/lagoonlever/bench/claims.py
+++ b/lagoonlever/bench/claims.py
@@ -13,8 +13,8 @@
 import trio
 
 from lagoonlever.bench.report import BenchOptions, BenchResult, Rows, benchmark, column
-from lagoonlever.decisions.claims.key_table import KeyTable, Run
 from lagoonlever.decisions.claims.claim_queue import Bound
+from lagoonlever.decisions.claims.key_table import KeyTable, Run
 from lagoonlever.entry.fleet.claims import BUCKET_S, Claims
 from lagoonlever.entry.services.settings import ServiceSettings
 from lagoonlever.fakes.platform import FakePlatform, PlatformFault, PlatformFaultKind
--- a/lagoonlever/entry/fleet/claims.py
+++ b/lagoonlever/entry/fleet/claims.py
@@ -11,15 +11,15 @@
 import logbook
 import trio
 
-from lagoonlever.decisions.claims.key_table import KeyTable
 from lagoonlever.decisions.claims.claim_queue import (
     BindingCache,
+    BindingUnknown,
     Bound,
     Claim,
     ClaimQueue,
     ClaimResult,
-    BindingUnknown,
 )
+from lagoonlever.decisions.claims.key_table import KeyTable
 from lagoonlever.decisions.claims.keys import HomedKey, KeyHome, parse_homed_key
 from lagoonlever.entry.services.events import CLAIMS_FAIL
 from lagoonlever.entry.services.settings import ServiceSettings
--- a/lagoonlever/entry/services/copies.py
+++ b/lagoonlever/entry/services/copies.py
@@ -4,13 +4,13 @@
 
 import attrs
 
-from lagoonlever.decisions.claims.key_table import KeyRecord, StoredAnswer
 from lagoonlever.decisions.claims.answer_copies import (
     MAX_COPIED_BYTES,
     AnswerCopies,
     CopyLookup,
     choose_copy_holders,
 )
+from lagoonlever.decisions.claims.key_table import KeyRecord, StoredAnswer
 from lagoonlever.decisions.claims.keys import HomedKey, parse_homed_key
 from lagoonlever.decisions.membership.membership import Member, MemberView
 from lagoonlever.entry.services.call import outcome_of_tag
--- a/lagoonlever/entry/services/dispatch.py
+++ b/lagoonlever/entry/services/dispatch.py
@@ -10,12 +10,12 @@
 from lagoonlever.decisions.admission.runners import Runners
 from lagoonlever.decisions.claims.key_table import StoredAnswer
 from lagoonlever.decisions.claims.write_check import (
-    RefreshTargets,
     ChooseOtherTarget,
+    RefreshTargets,
     Refuse,
     Write,
-    WriteDecision,
     WriteContext,
+    WriteDecision,
     decide_write,
 )
 from lagoonlever.decisions.targets.targets import Target, TargetState, TargetView
--- a/lagoonlever/entry/services/keyed.py
+++ b/lagoonlever/entry/services/keyed.py
@@ -9,18 +9,18 @@
 import trio
 
 from lagoonlever.decisions.claims.key_table import (
-    KeyExpired,
-    TableFull,
-    KeyTable,
+    ExpiryTooFar,
+    FingerprintMismatch,
     InProgress,
+    KeyExpired,
     KeyRecord,
     KeyState,
-    FingerprintMismatch,
-    WrongHome,
+    KeyTable,
     RepeatAnswer,
     Run,
     StoredAnswer,
-    ExpiryTooFar,
+    TableFull,
+    WrongHome,
 )
 from lagoonlever.decisions.claims.keys import KEY_HEADER, HomedKey, request_fingerprint
 from lagoonlever.decisions.targets.targets import Target
--- a/lagoonlever/entry/services/keys.py
+++ b/lagoonlever/entry/services/keys.py
@@ -5,17 +5,17 @@
 import attrs
 import trio
 
-from lagoonlever.decisions.claims.key_table import StoredAnswer
 from lagoonlever.decisions.claims.answer_copies import CopiedAnswer, MismatchedCopy
-from lagoonlever.decisions.claims.claim_queue import ClaimResult, BindingUnknown
+from lagoonlever.decisions.claims.claim_queue import BindingUnknown, ClaimResult
+from lagoonlever.decisions.claims.key_table import StoredAnswer
 from lagoonlever.decisions.claims.keys import (
     KEY_HEADER,
     HomedKey,
     PlainKey,
-    request_fingerprint,
+    claim_scope,
     parse_homed_key,
     parse_key,
-    claim_scope,
+    request_fingerprint,
 )
 from lagoonlever.decisions.membership.membership import MemberView
 from lagoonlever.entry.fleet.claims import Claims
--- a/lagoonlever/tests/claims_keys_tests.py
+++ b/lagoonlever/tests/claims_keys_tests.py
@@ -4,17 +4,17 @@
 
 import pytest
 
-from lagoonlever.decisions.claims.key_table import TableFull, FingerprintMismatch, Run
+from lagoonlever.decisions.claims.claim_queue import MAX_GROUP_KEYS, BindingCache, Claim, ClaimQueue
+from lagoonlever.decisions.claims.key_table import FingerprintMismatch, Run, TableFull
+from lagoonlever.decisions.claims.keys import KeyHome, PlainKey, parse_key
 from lagoonlever.decisions.claims.write_check import (
-    RefreshTargets,
     ChooseOtherTarget,
+    RefreshTargets,
     Refuse,
     Write,
     WriteContext,
     decide_write,
 )
-from lagoonlever.decisions.claims.claim_queue import MAX_GROUP_KEYS, BindingCache, Claim, ClaimQueue
-from lagoonlever.decisions.claims.keys import KeyHome, PlainKey, parse_key
 from lagoonlever.exceptions import RequestRefused
 from lagoonlever.identity import Incarnation
 from lagoonlever.outcomes import Done
--- a/lagoonlever/tests/claims_machine.py
+++ b/lagoonlever/tests/claims_machine.py
@@ -10,17 +10,17 @@
 
 from lagoonlever.decisions.claims.key_table import (
     RECORD_BYTES,
-    TableFull,
-    KeyTable,
     InProgress,
     KeyRecord,
     KeyState,
+    KeyTable,
     RepeatAnswer,
     Run,
     StoredAnswer,
+    TableFull,
 )
-from lagoonlever.decisions.claims.write_check import Refuse, Write, WriteContext, decide_write
 from lagoonlever.decisions.claims.keys import HomedKey
+from lagoonlever.decisions.claims.write_check import Refuse, Write, WriteContext, decide_write
 from lagoonlever.history.checkers import at_most_once, not_run
 from lagoonlever.history.events import HistoryEvent
 from lagoonlever.history.events_services import CallerToldOfCall
--- a/lagoonlever/tests/claims_tests.py
+++ b/lagoonlever/tests/claims_tests.py
@@ -8,7 +8,7 @@
 from hypothesis import HealthCheck, settings
 from hypothesis.stateful import run_state_machine_as_test as run_machine
 
-from lagoonlever.decisions.claims.key_table import RECORD_BYTES, KeyTable, KeyRecord, StoredAnswer
+from lagoonlever.decisions.claims.key_table import RECORD_BYTES, KeyRecord, KeyTable, StoredAnswer
 from lagoonlever.decisions.claims.keys import HomedKey
 from lagoonlever.outcomes import NotRun
 from lagoonlever.tests.claims_machine import ROOM_KEYS, ClaimsMachine
