--- a/lagoonlever/decisions/claims/key_table.py
+++ b/lagoonlever/decisions/claims/key_table.py
@@ -147,7 +147,7 @@
 
     def has_expired(self, key: HomedKey, now: float) -> bool:
         """Tell whether a key must not be run any more."""
-        return self.age_s(now) >= key.expires_life_s
+        return self.age_s(now) >= key.expires_at_age_s
 
     def admit(self, key: HomedKey, *, fingerprint: bytes, now: float) -> Admission:
         """Decide about one copy of a request; ``Run`` is given at most once for a key."""
@@ -159,13 +159,13 @@
             return self._known(record, fingerprint)
         if self.has_expired(key, now):
             return KeyExpired()
-        if key.expires_life_s > self.age_s(now) + self._lifetime_s:
+        if key.expires_at_age_s > self.age_s(now) + self._lifetime_s:
             return ExpiryTooFar()
         if self._void(key):
             return TableFull()
         record = KeyRecord(key=key, fingerprint=fingerprint)
         self._records[key] = record
-        heapq.heappush(self._expiries, (key.expires_life_s, key.random, key))
+        heapq.heappush(self._expiries, (key.expires_at_age_s, key.random, key))
         self._used_bytes += RECORD_BYTES
         return Run(record=record)
 
@@ -199,8 +199,8 @@
         run". Keys minted later expire later, and are taken again.
         """
         if self._used_bytes + RECORD_BYTES > self._limit_bytes:
-            self._void_through_life_s = max(self._void_through_life_s, key.expires_life_s)
-        return key.expires_life_s <= self._void_through_life_s
+            self._void_through_life_s = max(self._void_through_life_s, key.expires_at_age_s)
+        return key.expires_at_age_s <= self._void_through_life_s
 
     def _forget_expired(self, now: float) -> None:
         """Drop settled records past their expiry; one still being run stays until settled."""
--- a/lagoonlever/entry/fleet/addresses.py
+++ b/lagoonlever/entry/fleet/addresses.py
@@ -67,4 +67,4 @@
         if own is None or own.state is MemberState.LEAVING:
             return None
         home = self._key_home()
-        return KeyHomeAnswer(home=str(home.home), life_s=home.life_s, lifetime_s=home.lifetime_s)
+        return KeyHomeAnswer(home=str(home.home), life_s=home.age_s, lifetime_s=home.lifetime_s)
--- a/lagoonlever/entry/services/keyed.py
+++ b/lagoonlever/entry/services/keyed.py
@@ -139,7 +139,7 @@
             self._note_written(call, record, target)
             return True
 
-        life_left_s = record.key.expires_life_s - self._table.age_s(self._timers.now)
+        life_left_s = record.key.expires_at_age_s - self._table.age_s(self._timers.now)
         answer: StoredAnswer | None = None
         try:
             answer = await self._dispatcher.dispatch(
--- a/lagoonlever/tests/claims_machine.py
+++ b/lagoonlever/tests/claims_machine.py
@@ -234,7 +234,7 @@
             self.check_and_write(copy, record, choice)
 
     def check_and_write(self, copy: Copy, record: KeyRecord, choice: int) -> None:
-        expires_at = self.now + record.key.expires_life_s - copy.life.table.life_s(self.now)
+        expires_at = self.now + record.key.expires_at_age_s - copy.life.table.age_s(self.now)
         decision = decide_write(
             WriteContext(
                 now=self.now,
