--- a/lagoonlever/bench/claims.py
+++ b/lagoonlever/bench/claims.py
@@ -97,7 +97,7 @@
     timers = TimerService()
     table = KeyTable(
         own=Incarnation(name=f"vm{index}", started_ms=1, nonce=index),
-        born_at=timers.now,
+        started_at=timers.now,
         limit_bytes=settings.home_bytes,
     )
     claims = Claims(
--- a/lagoonlever/decisions/claims/__init__.py
+++ b/lagoonlever/decisions/claims/__init__.py
@@ -1,1 +1,1 @@
-"""Who alone may run a call that must not run twice."""
+"""Idempotency keys: decide which VM may run a request that must run at most once."""
--- a/lagoonlever/decisions/claims/claim_queue.py
+++ b/lagoonlever/decisions/claims/claim_queue.py
@@ -1,9 +1,9 @@
-"""Group commit of claims: one transaction carries every claim that waits at a VM.
+"""Group commit of claims: one transaction of the store carries all claims queued at a VM.
 
-A claim binds a plain key to a home for good. It is created only if absent, so
-that of two VMs that claim one key at once exactly one becomes its home. One
-transaction is on its way at a time: the slower the platform, the larger the
-groups and the fewer the calls.
+A claim binds a caller's plain key to a home, permanently. The store creates it
+only if the key has none yet, so if two VMs claim one key at the same time,
+exactly one of them becomes its home. One transaction is in flight at a time:
+the slower the store, the larger the groups and the fewer the calls.
 """
 
 from __future__ import annotations
@@ -16,12 +16,16 @@
 from lagoonlever.decisions.claims.keys import HomedKey
 
 MAX_GROUP_KEYS = 64
-"""Keys in one transaction; usual stores allow 128 operations."""
+"""The most keys in one transaction; common stores allow 128 operations per transaction."""
 
 
 @attrs.frozen(kw_only=True)
 class Claim:
-    """A plain key's scope and the home that this VM proposes for it."""
+    """A request to bind a plain key to a home.
+
+    ``scope`` identifies the plain key among those of all callers and services
+    (see ``claim_scope``); ``proposed`` is the homed key that this VM proposes.
+    """
 
     scope: str
     proposed: HomedKey
@@ -29,14 +33,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Bound:
-    """The key is bound to this home, ours or another's, as the platform has it."""
+    """The store has bound the plain key to ``home``, this VM's proposal or another VM's."""
 
     home: HomedKey
 
 
 @dataclass(frozen=True, kw_only=True)
 class BindingUnknown:
-    """It is not known whether the claim was applied; nothing may run on it."""
+    """It is unknown whether the claim was applied, so the request must not run."""
 
 
 ClaimResult = Bound | BindingUnknown
@@ -44,7 +48,7 @@
 
 @attrs.define(kw_only=True)
 class ClaimQueue:
-    """The claims that wait for a transaction, in order; copies of one key share a claim."""
+    """The claims that wait for a transaction, in order of arrival; one claim per scope."""
 
     _limit: int = 4096
     _waiting: deque[Claim] = attrs.field(factory=deque)
@@ -54,7 +58,7 @@
         return len(self._waiting)
 
     def add(self, claim: Claim) -> bool:
-        """Queue a claim; False means that the queue is full."""
+        """Queue a claim unless its scope is queued already; return False if the queue is full."""
         if claim.scope in self._scopes:
             return True
         if len(self._waiting) >= self._limit:
@@ -64,7 +68,7 @@
         return True
 
     def take_group(self) -> tuple[Claim, ...]:
-        """Take the claims of the next transaction."""
+        """Remove and return the claims of the next transaction, at most ``MAX_GROUP_KEYS``."""
         group = tuple(
             self._waiting.popleft() for _ in range(min(MAX_GROUP_KEYS, len(self._waiting)))
         )
@@ -74,17 +78,17 @@
 
 @attrs.define(kw_only=True)
 class BindingCache:
-    """BindingCache that this VM has learnt, bounded; they never change, so a copy is never wrong."""
+    """A bounded cache of the bindings that this VM has read; bindings never change."""
 
     _limit: int = 4096
     _homes: dict[str, HomedKey] = attrs.field(factory=dict)
 
     def get(self, scope: str) -> HomedKey | None:
-        """Give the home of a plain key if it is known here."""
+        """Return the homed key that a scope is bound to, or None if it is not cached."""
         return self._homes.get(scope)
 
     def record(self, scope: str, home: HomedKey) -> None:
-        """Remember a binding; the oldest is forgotten first, at the price of a read."""
+        """Cache a binding; at the limit, evict the oldest, which then must be read again."""
         if len(self._homes) >= self._limit:
             self._homes.pop(next(iter(self._homes)))
         self._homes[scope] = home
--- a/lagoonlever/decisions/claims/keys.py
+++ b/lagoonlever/decisions/claims/keys.py
@@ -1,8 +1,9 @@
-"""Idempotency keys: those that name their home, and plain ones that are bound to a home.
+"""Idempotency keys: homed keys, which name the incarnation that runs them, and plain keys.
 
-A key with a home names the one incarnation that may ever dispatch its request,
-so that no call to the platform is needed. A plain key is bound to a home by a
-claim in the platform; after that both are treated alike.
+A homed key names the only incarnation of a VM that may dispatch its request, so
+no call to the store is needed. A plain key is any text that the caller chooses;
+a claim in the store binds it to a home, and from then on it is handled like a
+homed key.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 KEY_HEADER = "Idempotency-Key"
 KEY_LIFETIME_S = 1800
-"""A key is kept, and its answer repeated, for at most this long."""
+"""The longest time that a key and its answer are stored; retries get the answer until then."""
 
 _HOMED = re.compile(
     r"(?P<home>[a-z0-9][a-z0-9\-]{0,62}~[0-9a-f]{1,16}~[0-9a-f]{1,32})"
@@ -29,10 +30,10 @@
 
 @attrs.frozen(kw_only=True)
 class HomedKey:
-    """A key whose request only ``home`` may dispatch, and never after ``expires_at_age_s``.
+    """A key whose request only ``home`` may dispatch, and only before ``expires_at_age_s``.
 
-    The expiry counts whole seconds of the home's own life, so that it needs no
-    agreement of clocks between callers and VMs.
+    The expiry is an age of the home's incarnation in whole seconds, so that
+    callers and VMs need no synchronised clocks.
     """
 
     home: Incarnation
@@ -45,28 +46,32 @@
 
 @attrs.frozen(kw_only=True)
 class PlainKey:
-    """A key of the caller's own making; says nothing about who may dispatch it."""
+    """A key chosen by the caller, which does not name the VM that may dispatch its request."""
 
     text: str
 
 
 @attrs.frozen(kw_only=True)
 class KeyHome:
-    """What a caller needs to mint keys: the home, its life so far, and how long keys live."""
+    """The data from which a caller mints homed keys.
+
+    ``age_s`` is the home's age and ``lifetime_s`` the lifetime of keys, both in
+    whole seconds.
+    """
 
     home: Incarnation
     age_s: int
     lifetime_s: int = KEY_LIFETIME_S
 
     def mint(self, *, random: str) -> HomedKey:
-        """Give a new key; ``random`` is 8 to 64 characters that no other key carries."""
+        """Return a new key; ``random`` is 8 to 64 characters that no other key has."""
         return HomedKey(
             home=self.home, expires_at_age_s=self.age_s + self.lifetime_s, random=random
         )
 
 
 def parse_homed_key(text: str) -> HomedKey | None:
-    """Read a key with a home, or give None."""
+    """Parse a homed key; return None if the text is not one."""
     match = _HOMED.match(text)
     if match is None:
         return None
@@ -78,7 +83,11 @@
 
 
 def parse_key(text: str) -> HomedKey | PlainKey:
-    """Read the header's value; raises ``RequestRefused`` naming the header."""
+    """Parse the value of the ``Idempotency-Key`` header.
+
+    Raise ``RequestRefused`` (status 400), which names the header, if the value is
+    neither a homed key nor 1 to 200 visible ASCII characters.
+    """
     homed = parse_homed_key(text)
     if homed is not None:
         return homed
@@ -90,16 +99,21 @@
 
 
 def claim_scope(key: PlainKey, *, service: str, credential: str) -> str:
-    """Name a plain key among all callers' keys, so that two callers' keys never meet."""
+    """Return an identifier of a plain key that is unique to its caller and service.
+
+    It is a digest over the caller's credential, the service and the key, so that
+    equal keys of two callers do not collide.
+    """
     digest = hashlib.sha256("\0".join((credential, service, key.text)).encode())
     return digest.hexdigest()[:40]
 
 
 def request_fingerprint(request: Request) -> bytes:
-    """Digest all that makes two requests the same: method, path, query, caller and body.
+    """Return a digest of the request's method, path, query, credential and body.
 
-    The caller's credential is part of it, so that nobody reads another
-    caller's answer by guessing its key.
+    Two requests with the same digest are copies of one request. The caller's
+    credential is included, so that nobody can read another caller's answer by
+    guessing its key.
     """
     credential = request.headers.get("Authorization", "") or ""
     head = "\0".join((request.method, request.path, request.raw_query, credential, ""))
--- a/lagoonlever/decisions/claims/write_check.py
+++ b/lagoonlever/decisions/claims/write_check.py
@@ -1,4 +1,9 @@
-"""The last check before a request that may not be repeated is written to its target."""
+"""Final check right before a request that must not be repeated is written to its target.
+
+Once the request is written, it may run. The process can be paused between the
+choice of a target and the write, so that the choice is out of date; this check
+is made in the same step as the write.
+"""
 
 from __future__ import annotations
 
@@ -11,10 +16,12 @@
 
 @attrs.frozen(kw_only=True)
 class WriteContext:
-    """All that the last check looks at, read in the same step as the write.
+    """The input of the final check, read in the same step as the write.
 
-    ``deadline`` and ``key_expires_at`` are monotonic times in seconds or None;
-    ``paused_s`` is how long this process seems to have been paused just now.
+    ``now``, ``deadline`` and ``key_expires_at`` are monotonic times in seconds;
+    the latter two are None where there is no such limit. ``target_live`` says
+    whether the target may be given new work. ``paused_s`` is the length of the
+    process pause that was just detected, 0 without one.
     """
 
     now: float
@@ -26,12 +33,12 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Write:
-    """Write now."""
+    """Write the request now."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class RefreshTargets:
-    """What this process knows of the targets may be old: learn it again, then check."""
+    """This process's view of the targets may be out of date: refresh it, then check again."""
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -41,7 +48,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Refuse:
-    """The request is never to be written."""
+    """The request must never be written."""
 
     reason: Reason
     message: str
@@ -50,20 +57,21 @@
 WriteDecision = Write | RefreshTargets | ChooseOtherTarget | Refuse
 
 
-def decide_write(facts: WriteContext) -> WriteDecision:
+def decide_write(context: WriteContext) -> WriteDecision:
     """Decide whether a request may be written at this moment.
 
-    Guards against a process that is frozen between its decision and its write:
-    on waking, the deadline may be long past, the key expired and the target
-    leaving. Monotonic time goes on while a process is stopped, so that the
-    times show it; the view of the targets does not, so it is learnt again.
+    The check guards against a process that is stopped between the choice of a target
+    and the write: when it continues, the deadline may have passed, the key may
+    have expired and the target may be leaving. Monotonic time advances while a
+    process is stopped, so the comparisons of times detect the first two. The
+    view of the targets does not advance, so it is refreshed after a pause.
     """
-    if facts.deadline is not None and facts.now >= facts.deadline:
+    if context.deadline is not None and context.now >= context.deadline:
         return Refuse(reason=Reason.DEADLINE, message="its deadline passed before it was sent")
-    if facts.key_expires_at is not None and facts.now >= facts.key_expires_at:
+    if context.key_expires_at is not None and context.now >= context.key_expires_at:
         return Refuse(reason=Reason.KEY_EXPIRED, message="its key expired before it was sent")
-    if facts.paused_s > 0:
+    if context.paused_s > 0:
         return RefreshTargets()
-    if not facts.target_live:
+    if not context.target_live:
         return ChooseOtherTarget()
     return Write()
--- a/lagoonlever/entry/services/services.py
+++ b/lagoonlever/entry/services/services.py
@@ -112,7 +112,7 @@
         )
         table = KeyTable(
             own=own,
-            born_at=timers.now,
+            started_at=timers.now,
             limit_bytes=settings.home_bytes,
             lifetime_s=settings.key_lifetime_s,
         )
--- a/lagoonlever/tests/at_most_once_tests.py
+++ b/lagoonlever/tests/at_most_once_tests.py
@@ -1,4 +1,7 @@
-"""Bids through real processes that are stopped, continued and killed by signals."""
+"""Keyed requests through real processes that are stopped, continued and killed by signals.
+
+The requests are bids, which an application service must not execute twice.
+"""
 
 from __future__ import annotations
 
@@ -20,18 +23,21 @@
 from lagoonlever.tests.processes import Fleet, Process, fleet
 
 RUNNER = "application-1"
-PATIENCE_S = 60.0
+WAIT_TIMEOUT_S = 60.0
 PAUSE_S = 3.0
-"""Longer than any pause threshold; the time that a process stays stopped."""
-LEFT_S = 1.4
-"""Long enough that a bid which looks new outlives the checks that follow a pause."""
+"""The time that a process stays stopped; longer than any threshold of pause detection."""
+REMAINING_S = 1.4
+"""The time to a bid's deadline; it must outlast the checks that follow a pause.
+
+Then a VM that wrongly takes the bid for a new one does send it, and the test fails.
+"""
 BIDS = "/services/application/bids"
-COPIED_BYTES = 'lagoonlever_control_bytes_total{direction="received",message="key-answer"'
+COPIED_BYTES_METRIC = 'lagoonlever_control_bytes_total{direction="received",message="key-answer"'
 
 
 @attrs.define(kw_only=True)
 class Deployment:
-    """A platform, an application runner and two entry VMs, each a process."""
+    """A store, an application runner and two entry VMs, each a process."""
 
     fleet: Fleet
 
@@ -47,7 +53,7 @@
         method: str = "GET",
         body: bytes = b"",
         headers: Headers | None = None,
-        timeout_s: float = PATIENCE_S,
+        timeout_s: float = WAIT_TIMEOUT_S,
     ) -> Response:
         async def send() -> Response:
             return await fetch(
@@ -63,32 +69,37 @@
         return trio.run(send)
 
     def bid(
-        self, vm: int, key: str, *, left_s: float | None = None, timeout_s: float = PATIENCE_S
+        self,
+        vm: int,
+        key: str,
+        *,
+        remaining_s: float | None = None,
+        timeout_s: float = WAIT_TIMEOUT_S,
     ) -> Response:
         headers = Headers(((KEY_HEADER, key),))
-        if left_s is not None:
-            headers = headers.with_field("Lagoonlever-Deadline-S", str(left_s))
+        if remaining_s is not None:
+            headers = headers.with_field("Lagoonlever-Deadline-S", str(remaining_s))
         address = self.vms[vm].address
         return self.request(
             address, BIDS, method="POST", body=b"{}", headers=headers, timeout_s=timeout_s
         )
 
-    def bid_unheard(self, vm: int, key: str, *, left_s: float | None = None) -> None:
-        """Send a bid and leave before it is answered."""
+    def bid_without_waiting(self, vm: int, key: str, *, remaining_s: float | None = None) -> None:
+        """Send a bid and disconnect after 0.5 s, before it is answered."""
         with contextlib.suppress(PeerTimeout):
-            self.bid(vm, key, left_s=left_s, timeout_s=0.5)
+            self.bid(vm, key, remaining_s=remaining_s, timeout_s=0.5)
 
     def copied_bytes(self, vm: int) -> float:
-        """Give the bytes of settled answers that this VM received from other homes."""
+        """Return the bytes of settled answers that this VM received from other homes."""
         text = self.request(self.vms[vm].address, "/metrics").body.decode()
-        lines = [line for line in text.splitlines() if line.startswith(COPIED_BYTES)]
+        lines = [line for line in text.splitlines() if line.startswith(COPIED_BYTES_METRIC)]
         return sum(float(line.rpartition(" ")[2]) for line in lines)
 
-    def bid_copied(self, vm: int, key: str, *, to: int) -> Response:
-        """Send a bid, and wait until another VM holds a copy of its answer."""
+    def bid_and_await_copy(self, vm: int, key: str, *, to: int) -> Response:
+        """Send a bid, and return its answer once the VM ``to`` holds a copy of it."""
         before = self.copied_bytes(to)
         answer = self.bid(vm, key)
-        give_up_at = time.monotonic() + PATIENCE_S
+        give_up_at = time.monotonic() + WAIT_TIMEOUT_S
         while self.copied_bytes(to) == before:
             assert time.monotonic() < give_up_at, "no copy of the answer arrived"
             time.sleep(0.05)
@@ -99,17 +110,17 @@
         return dict(json.loads(body)["by_key"])
 
     def mint(self, vm: int, random: str) -> str:
-        """Mint a key whose home is this VM, from what the VM tells callers."""
+        """Return a new key whose home is this VM, from the data that the VM gives to callers."""
         home = self.vms[vm]
         body = json.loads(self.request(home.address, "/v1/entry").body)
-        given = body["key_home"]
-        assert given is not None
-        return f"{given['home']}:{given['life_s'] + given['lifetime_s']}:{random}"
+        key_home = body["key_home"]
+        assert key_home is not None
+        return f"{key_home['home']}:{key_home['life_s'] + key_home['lifetime_s']}:{random}"
 
 
 @contextlib.contextmanager
 def deployment(directory: Path, *, service_s: float = 0.005) -> Iterator[Deployment]:
-    """Run a deployment until the block ends; wait first until both VMs serve each other's keys."""
+    """Run a deployment for the block, once each VM forwards requests to the other's keys."""
     with fleet(directory, engines=0, vms=2) as running:
         arguments = ("fake", "application", "--service-s", str(service_s))
         running.read_ready(running.start(RUNNER, "application", *arguments))
@@ -122,8 +133,8 @@
 
 
 def wait_until_forwarded(site: Deployment, home: int) -> None:
-    """Wait until a bid for this home goes through the other VM."""
-    give_up_at = time.monotonic() + PATIENCE_S
+    """Wait until a bid whose home is this VM succeeds through the other VM."""
+    give_up_at = time.monotonic() + WAIT_TIMEOUT_S
     number = 0
     while True:
         number += 1
@@ -142,17 +153,18 @@
     return response.headers.get(REASON_HEADER) or ""
 
 
-def test_a_bid_that_waits_in_a_stopped_vm_is_not_sent_after_its_deadline(tmp_path: Path) -> None:
-    """A VM is stopped; a bid with little time left arrives in its socket.
+def test_request_queued_at_a_stopped_vm_is_not_sent_after_its_deadline(tmp_path: Path) -> None:
+    """Guard against a request that is sent after its deadline because its VM was stopped.
 
-    When the VM goes on the bid looks new, and a naive VM sends it: a bid that
-    was meant for an auction that is over.
+    The request arrives in the socket of a stopped VM shortly before its deadline.
+    When the process continues, the request seems to be new; sent then, it would be
+    a bid for an auction that is over.
     """
     with deployment(tmp_path) as site:
         key = site.mint(0, "random-12345678")
         site.vms[0].send(signal.SIGSTOP)
-        site.bid_unheard(0, key, left_s=LEFT_S)
-        elsewhere = site.bid(1, key, left_s=LEFT_S)
+        site.bid_without_waiting(0, key, remaining_s=REMAINING_S)
+        elsewhere = site.bid(1, key, remaining_s=REMAINING_S)
         assert (outcome(elsewhere), reason(elsewhere)) == ("unknown", "home-unreachable")
         site.vms[0].send(signal.SIGCONT)
         for vm in (1, 0):
@@ -160,14 +172,15 @@
         assert key not in site.executions()
 
 
-def test_the_holder_of_a_claim_wakes_and_runs_the_bid_once(tmp_path: Path) -> None:
-    """A VM claims a bid, is stopped before it is done, and goes on later.
+def test_home_that_continues_after_a_stop_runs_the_request_once(tmp_path: Path) -> None:
+    """Guard against a second run of a request whose home is stopped while it runs.
 
-    Meanwhile the dealer asks the other VM, which must neither run the bid nor
-    say "not run"; afterwards both VMs give the one answer.
+    A VM claims a key and is stopped before the request is done. The caller retries
+    at the other VM, which must neither run the request nor answer "not run". Once
+    the home continues, both VMs must return the same answer.
     """
     with deployment(tmp_path, service_s=1.0) as site:
-        site.bid_unheard(0, "bid-1")
+        site.bid_without_waiting(0, "bid-1")
         site.vms[0].send(signal.SIGSTOP)
         assert outcome(site.bid(1, "bid-1")) == "unknown"
         time.sleep(PAUSE_S)
@@ -178,15 +191,17 @@
         assert site.executions()["bid-1"] == 1
 
 
-def test_a_killed_home_leaves_its_bids_unknown(tmp_path: Path) -> None:
-    """A VM is killed while the service works on a bid; the dealer asks the other VM, twice.
+def test_outcome_is_unknown_after_the_home_is_killed(tmp_path: Path) -> None:
+    """Guard against a second run, or a wrong outcome, after the home is killed.
 
-    The two bids are left after half a second each, so the service works for much longer.
+    A VM is killed while the service works on two bids, and the caller retries each
+    twice at the other VM, which cannot know what ran. The caller disconnects after
+    half a second per bid; the service takes much longer (6 s), so both still run when the VM is killed.
     """
     with deployment(tmp_path, service_s=6.0) as site:
         keys = ["bid-1", site.mint(0, "random-12345678")]
         for key in keys:
-            site.bid_unheard(0, key)
+            site.bid_without_waiting(0, key)
         site.vms[0].send(signal.SIGKILL)
         for key in keys * 2:
             assert (outcome(site.bid(1, key))) == "unknown"
@@ -194,15 +209,16 @@
         assert all(executions.get(key, 0) <= 1 for key in keys)
 
 
-def test_a_repeat_outlives_its_killed_home(tmp_path: Path) -> None:
-    """A bid was answered and its VM is killed before the dealer, who heard nothing, asks again.
+def test_copied_answer_is_returned_after_the_home_is_killed(tmp_path: Path) -> None:
+    """Guard against the loss of an answer when its home is killed after the request ran.
 
-    The other VM holds a copy of the answer, and gives it. A copy is sent as the answer is
-    given; a home killed in between leaves "unknown", so the kill waits for the copies.
+    The caller did not receive the answer and retries at the other VM, which must
+    return its copy. The copy is sent while the caller is answered, and a home that is
+    killed between the two leaves "unknown", so the test waits for the copies first.
     """
     with deployment(tmp_path) as site:
         keys = ["bid-1", site.mint(0, "random-12345678")]
-        answers = [site.bid_copied(0, key, to=1) for key in keys]
+        answers = [site.bid_and_await_copy(0, key, to=1) for key in keys]
         site.vms[0].send(signal.SIGKILL)
         for key, answer in zip(keys, answers, strict=True):
             repeat = site.bid(1, key)
--- a/lagoonlever/tests/claims_checkers_tests.py
+++ b/lagoonlever/tests/claims_checkers_tests.py
@@ -1,4 +1,4 @@
-"""The checkers of requests that run at most once, on histories that break their promises."""
+"""The checkers of requests that run at most once, on histories that violate the guarantees."""
 
 from __future__ import annotations
 
@@ -10,23 +10,27 @@
 from lagoonlever.history.events_targets import ServiceExecuted
 
 
-def told(tag: str, body: str, request: str = "r") -> CallerToldOfCall:
+def answer_event(tag: str, body: str, request: str = "r") -> CallerToldOfCall:
     return CallerToldOfCall(
         at=1.0, process="caller", caller="c", request=request, tag=tag, status=200, body=body
     )
 
 
-def test_a_repeat_with_another_answer_is_seen() -> None:
-    same = [told("done", "lot 7"), told("unknown", ""), told("done", "lot 7")]
+def test_detects_a_retry_with_a_different_answer() -> None:
+    same = [
+        answer_event("done", "lot 7"),
+        answer_event("unknown", ""),
+        answer_event("done", "lot 7"),
+    ]
     assert at_most_once.check(same) == []
-    assert len(at_most_once.check([*same, told("done", "lot 8")])) == 1
+    assert len(at_most_once.check([*same, answer_event("done", "lot 8")])) == 1
     looked_up = ServiceExecuted(
         at=0.5, process="a1", target="a1", key="", request="r", operation="GET /prices"
     )
-    assert at_most_once.check([looked_up, *same, told("done", "lot 8")]) == []
+    assert at_most_once.check([looked_up, *same, answer_event("done", "lot 8")]) == []
 
 
-def test_a_key_that_is_written_twice_is_seen() -> None:
+def test_detects_a_key_that_is_written_twice() -> None:
     first = DispatchWritten(at=1.0, process="vm1", key="k", target="a1", homed_key="vm1~1~2:9:k")
     without_key = DispatchWritten(at=1.0, process="vm1", key="", target="a1")
     assert at_most_once.check([first, without_key, without_key]) == []
@@ -34,7 +38,7 @@
     assert len(at_most_once.check([first, again])) == 1
 
 
-def test_a_generation_told_not_run_after_its_tokens_is_seen() -> None:
+def test_detects_not_run_after_tokens_were_received() -> None:
     common = {"process": "caller", "caller": "c", "request": "r"}
     asked = CallerAsked(at=1.0, vm="vm1", model="m", prompt="p", max_tokens=2, **common)
     received = CallerReceived(
--- a/lagoonlever/tests/claims_tests.py
+++ b/lagoonlever/tests/claims_tests.py
@@ -1,4 +1,7 @@
-"""The promises of keys and claims: deaths, freezes, late and lost claims, guards off."""
+"""Guarantees of keyed requests under crashes, pauses, late claims and lost answers.
+
+Each guard is also switched off once, to show that the checks detect its absence.
+"""
 
 from __future__ import annotations
 
@@ -11,11 +14,11 @@
 from lagoonlever.decisions.claims.key_table import RECORD_BYTES, KeyRecord, KeyTable, StoredAnswer
 from lagoonlever.decisions.claims.keys import HomedKey
 from lagoonlever.outcomes import NotRun
-from lagoonlever.tests.claims_machine import ROOM_KEYS, ClaimsMachine
+from lagoonlever.tests.claims_machine import MAX_KEYS, ClaimsMachine
 
 
 class ForgetsRefusals(KeyTable):
-    """Guard off: a key that was told "not run" is forgotten."""
+    """Guard off: the record of a key is removed once its caller was told "not run"."""
 
     def settle(self, record: KeyRecord, answer: StoredAnswer) -> None:
         super().settle(record, answer)
@@ -26,9 +29,9 @@
 
 
 class ForgetsVoidKeys(KeyTable):
-    """Guard off: a key that was refused for want of memory is taken later."""
+    """Guard off: a key that was refused for lack of memory may be admitted later."""
 
-    def _void(self, key: HomedKey) -> bool:
+    def _refuse_for_memory(self, key: HomedKey) -> bool:
         return self._used_bytes + RECORD_BYTES > self._limit_bytes
 
 
@@ -41,19 +44,19 @@
 
 
 class ShortLeaseMachine(ClaimsMachine):
-    """Guard off: the lease of the claims ends before their keys do."""
+    """Guard off: the lease of the claims ends before their keys expire."""
 
     lease_s = 50.0
 
 
 class OverwritesClaimsMachine(ClaimsMachine):
-    """Guard off: a claim is written whether or not the key is held."""
+    """Guard off: a claim overwrites the existing claim of another VM."""
 
     create_if_absent = False
 
 
 class TakesOverMachine(ClaimsMachine):
-    """Guard off: who can't reach the home runs the request itself."""
+    """Guard off: a VM that cannot reach a key's home runs the request itself."""
 
     take_over_unreachable = True
 
@@ -61,18 +64,19 @@
 QUIET = {"deadline": None, "suppress_health_check": list(HealthCheck), "database": None}
 
 
-def test_claims_keep_their_promises() -> None:
-    """A dealer's bid is sent to two VMs at once, and again after one died, froze or woke.
+def test_no_request_runs_twice_or_after_not_run() -> None:
+    """Guard against a request that runs twice, or that runs after "not run" was returned.
 
-    Claims are applied late, or their answers are lost; leases end; memory runs out.
-    The bid must not run twice, and must not run at all once its caller was told
-    "not run", whichever copy was told so.
+    This comes about when copies of a request are sent to two VMs at once, or again
+    after a VM crashed, was paused or continued, while claims are applied late, their
+    answers are lost, leases end or memory runs out. It must hold whichever copy got
+    the answer "not run".
     """
     run_machine(ClaimsMachine, settings=settings(max_examples=100, stateful_step_count=60, **QUIET))
 
 
 def drain(machine: ClaimsMachine) -> None:
-    """Let the copies go on, each as well as it can, until they are told or stuck."""
+    """Advance all copies until each is answered or cannot continue."""
     for index in range(8):
         if machine.copies:
             machine.step(index, 7)
@@ -80,8 +84,8 @@
         machine.target_executes()
 
 
-def refused_copy_and_a_late_one(machine: ClaimsMachine) -> None:
-    """Tell the caller "not run", then let a copy arrive that waited at another VM."""
+def late_copy_after_a_refusal(machine: ClaimsMachine) -> None:
+    """Answer "not run", then let a delayed copy of the request arrive."""
     machine.send(0, "vm1", None)
     machine.step(0, 7)
     machine.step(0, 7)
@@ -91,11 +95,11 @@
     drain(machine)
 
 
-def refused_for_memory_and_a_late_one(machine: ClaimsMachine) -> None:
-    """Tell the caller "not run" for want of memory, then let a copy arrive when there is some."""
-    for _ in range(ROOM_KEYS + 2):
+def late_copy_after_a_refusal_for_memory(machine: ClaimsMachine) -> None:
+    """Answer "not run" for lack of memory, then let a copy arrive once memory is free."""
+    for _ in range(MAX_KEYS + 2):
         machine.mint("vm1")
-    for key in range(ROOM_KEYS):
+    for key in range(MAX_KEYS):
         machine.send(2 + key, "vm1", None)
         drain(machine)
     machine.wait(20.0)
@@ -108,8 +112,8 @@
     drain(machine)
 
 
-def holder_frozen_beyond_its_lease(machine: ClaimsMachine) -> None:
-    """Freeze the holder before its write, ask another VM, wake the holder."""
+def home_paused_beyond_its_lease(machine: ClaimsMachine) -> None:
+    """Pause the home before its write, retry at another VM, then let the home continue."""
     machine.send(0, "vm1", None)
     machine.step(0, 7)
     machine.step(0, 7)
@@ -122,8 +126,8 @@
     drain(machine)
 
 
-def two_vms_at_once(machine: ClaimsMachine) -> None:
-    """Send one bid to two VMs at once."""
+def same_key_at_two_vms(machine: ClaimsMachine) -> None:
+    """Send one request to two VMs at the same time."""
     machine.send(0, "vm1", None)
     machine.step(0, 7)
     machine.step(0, 7)
@@ -132,12 +136,12 @@
     drain(machine)
 
 
-def again_after_the_home_died(machine: ClaimsMachine) -> None:
-    """Let the home die with the bid sent, and ask another VM."""
+def retry_after_the_home_crashed(machine: ClaimsMachine) -> None:
+    """Crash the home after it has written the request, and retry at another VM."""
     machine.send(0, "vm1", None)
     for _ in range(3):
         machine.step(0, 7)
-    machine.die("vm1")
+    machine.crash("vm1")
     drain(machine)
     machine.send(0, "vm2", None)
     drain(machine)
@@ -146,20 +150,20 @@
 @pytest.mark.parametrize(
     ("story", "guard_off"),
     [
-        (refused_copy_and_a_late_one, ForgetsRefusalsMachine),
-        (refused_for_memory_and_a_late_one, ForgetsVoidKeysMachine),
-        (holder_frozen_beyond_its_lease, ShortLeaseMachine),
-        (two_vms_at_once, OverwritesClaimsMachine),
-        (again_after_the_home_died, TakesOverMachine),
+        (late_copy_after_a_refusal, ForgetsRefusalsMachine),
+        (late_copy_after_a_refusal_for_memory, ForgetsVoidKeysMachine),
+        (home_paused_beyond_its_lease, ShortLeaseMachine),
+        (same_key_at_two_vms, OverwritesClaimsMachine),
+        (retry_after_the_home_crashed, TakesOverMachine),
     ],
 )
 def test_each_guard_is_needed(
     story: Callable[[ClaimsMachine], None], guard_off: type[ClaimsMachine]
 ) -> None:
-    """Each story runs a bid that must not run once its guard is off, and holds with it."""
+    """Each scenario violates the guarantees if its guard is off, and keeps them otherwise."""
     guarded, unguarded = ClaimsMachine(), guard_off()
     story(guarded)
-    guarded.promises_hold()
+    guarded.run_guarantees_hold()
     story(unguarded)
     with pytest.raises(AssertionError):
-        unguarded.promises_hold()
+        unguarded.run_guarantees_hold()
