--- a/lagoonlever/decisions/suspicion/__init__.py
+++ b/lagoonlever/decisions/suspicion/__init__.py
@@ -1,1 +1,1 @@
-"""Detectors of silence, and what suspecting may cost."""
+"""Failure detection for engines by stream silence, and the budget for hedged requests."""
--- a/lagoonlever/tests/suspicion_tests.py
+++ b/lagoonlever/tests/suspicion_tests.py
@@ -1,4 +1,8 @@
-"""Detection of an engine's death: silence, stuck streams, slowness, own pauses, the budget."""
+"""Tests of engine failure detection and of the hedge budget.
+
+They cover silent engines, single silent streams, slow engines, pauses of the
+detecting process itself, and what hedges may cost.
+"""
 
 from __future__ import annotations
 
@@ -18,8 +22,8 @@
 
 
 @attrs.define
-class Engine:
-    """An engine that gives every moving stream a token a step, on a clock of its own."""
+class SimulatedEngine:
+    """Engine that yields one token for each given stream in a step, on a simulated clock."""
 
     suspicion: EngineSuspicion
     now: float = 100.0
@@ -30,7 +34,7 @@
             self.suspicion.add_stream(stream, now=self.now, prompt_tokens=100)
 
     def step(self, *streams: str, gap_s: float = GAP_S) -> None:
-        self.silent(gap_s)
+        self.stay_silent(gap_s)
         for stream in streams:
             self.suspicion.record_token(stream, now=self.now)
 
@@ -38,7 +42,7 @@
         for _ in range(steps):
             self.step(*streams, gap_s=gap_s)
 
-    def silent(self, seconds: float) -> None:
+    def stay_silent(self, seconds: float) -> None:
         end = self.now + seconds
         while self.suspicion.next_check_at < end:
             self.now = max(self.now + 1e-3, self.suspicion.next_check_at)
@@ -49,121 +53,129 @@
         return {(verdict.stream, verdict.level) for verdict in self.verdicts}
 
 
-def engine(**options: object) -> Engine:
-    return Engine(EngineSuspicion(settings=DetectionSettings(**options)))
+def simulated_engine(**options: object) -> SimulatedEngine:
+    return SimulatedEngine(EngineSuspicion(settings=DetectionSettings(**options)))
 
 
 @pytest.mark.parametrize("method", sorted(DETECTORS))
-def test_a_frozen_engine_is_suspected_then_left(method: str) -> None:
-    """A dealer's summary stops in mid-sentence: the engine is frozen, its socket stays open.
+def test_a_frozen_engine_becomes_suspect_then_dead(method: str) -> None:
+    """Guards against answers that hang because their engine froze.
 
-    Every stream falls silent at once. Each detector first suspects all of them,
-    then calls all of them dead, within two seconds.
+    The engine's sockets stay open and all its streams fall silent at once. Every
+    detector must report each of them as suspect and then as dead within two seconds.
     """
-    watched = engine(method=method, fixed_timeout_s=1.9)
-    watched.open("a", "b", "c")
-    watched.run("a", "b", "c", steps=200)
-    assert watched.verdicts == []
-    watched.silent(2.0)
+    engine = simulated_engine(method=method, fixed_timeout_s=1.9)
+    engine.open("a", "b", "c")
+    engine.run("a", "b", "c", steps=200)
+    assert engine.verdicts == []
+    engine.stay_silent(2.0)
     for stream in "abc":
-        levels = [v.level for v in watched.verdicts if v.stream == stream]
+        levels = [v.level for v in engine.verdicts if v.stream == stream]
         assert levels == [SuspicionLevel.SUSPECT, SuspicionLevel.DEAD]
 
 
-def test_one_silent_stream_beside_moving_neighbours_is_given_longer() -> None:
-    """A digest pauses for three seconds while the engine serves its neighbours.
+def test_a_preempted_stream_gets_more_time_than_a_dead_engine() -> None:
+    """Guards against moving a stream that its engine has only preempted.
 
-    The engine preempted one stream; switching would waste its cache. The gap
-    detector leaves it, the pooled one waits, and learns nothing wrong from it.
+    One stream is silent for three seconds while the engine serves the others;
+    moving it would waste its KV cache. The gap detector moves it, the pooled one
+    waits, and its long gap doesn't raise the timeout of the engine's other streams.
     """
     dead = {}
     for method in ("gap", "pooled"):
-        watched = engine(method=method, dead_at_least_s=0.8)
-        watched.open("a", "b", "c")
-        watched.run("a", "b", "c", steps=200)
-        watched.run("b", "c", steps=120)
-        dead[method] = [v.stream for v in watched.verdicts if v.level is SuspicionLevel.DEAD]
+        engine = simulated_engine(method=method, dead_at_least_s=0.8)
+        engine.open("a", "b", "c")
+        engine.run("a", "b", "c", steps=200)
+        engine.run("b", "c", steps=120)
+        dead[method] = [v.stream for v in engine.verdicts if v.level is SuspicionLevel.DEAD]
         if method == "pooled":
-            watched.run("a", "b", "c", steps=10)
-            watched.verdicts.clear()
-            watched.silent(0.9)
-            assert ("b", SuspicionLevel.DEAD) in watched.levels()
+            engine.run("a", "b", "c", steps=10)
+            engine.verdicts.clear()
+            engine.stay_silent(0.9)
+            assert ("b", SuspicionLevel.DEAD) in engine.levels()
     assert dead == {"gap": ["a"], "pooled": []}
 
 
-def test_own_pause_is_no_silence_of_the_engine() -> None:
-    """Every answer of a VM switches engines at once, though no engine failed.
+def test_a_pause_of_this_process_is_no_silence_of_the_engine() -> None:
+    """Guards against moving all streams of a VM at once although no engine failed.
 
-    The VM's process is stopped for five seconds; on SIGCONT its timers run before
-    the tokens that wait in its sockets are read. With the guard off all are dead.
+    The VM's process is stopped for five seconds. On SIGCONT its timers run before
+    the tokens in its sockets are read, so without the correction all streams are dead.
     """
-    for told in (True, False):
-        watched = engine()
-        watched.open("a", "b")
-        watched.run("a", "b", steps=200)
-        watched.now += 5.0
-        if told:
-            watched.suspicion.discount_pause(5.0, now=watched.now)
+    for pause_is_reported in (True, False):
+        engine = simulated_engine()
+        engine.open("a", "b")
+        engine.run("a", "b", steps=200)
+        engine.now += 5.0
+        if pause_is_reported:
+            engine.suspicion.discount_pause(5.0, now=engine.now)
         else:
-            watched.suspicion._next_check_at = watched.now
-        levels = {v.level for v in watched.suspicion.assess(watched.now)}
-        assert levels == (set() if told else {SuspicionLevel.DEAD})
+            engine.suspicion._next_check_at = engine.now
+        levels = {v.level for v in engine.suspicion.assess(engine.now)}
+        assert levels == (set() if pause_is_reported else {SuspicionLevel.DEAD})
+
 
+def test_a_late_check_counts_as_a_pause_of_this_process() -> None:
+    """Guards against dead verdicts after a pause that the timer service doesn't report.
 
-def test_a_late_check_counts_as_own_pause() -> None:
-    """A garbage collection of 0.9 s is too short for the timer service to call it a pause."""
-    watched = engine()
-    watched.open("a", "b")
-    watched.run("a", "b", steps=200)
-    watched.now = watched.suspicion.next_check_at + 0.9
-    assert watched.suspicion.assess(watched.now) == ()
-    watched.silent(2.0)
-    assert ("a", SuspicionLevel.DEAD) in watched.levels()
+    A garbage collection of 0.9 s is too short for the timer service to count as a pause.
+    """
+    engine = simulated_engine()
+    engine.open("a", "b")
+    engine.run("a", "b", steps=200)
+    engine.now = engine.suspicion.next_check_at + 0.9
+    assert engine.suspicion.assess(engine.now) == ()
+    engine.stay_silent(2.0)
+    assert ("a", SuspicionLevel.DEAD) in engine.levels()
 
 
-def test_a_slow_engine_is_left_unless_its_like_are_as_slow() -> None:
-    """Clerks watch words drip: one engine runs at a twentieth of its usual speed.
+def test_a_slow_engine_is_dead_unless_its_peers_are_as_slow() -> None:
+    """Guards against streams that stay at an engine with a twentieth of its usual speed.
 
-    It never falls silent for long, so only the comparison with its own past
-    shows it. When all engines are as slow, leaving it would gain nothing.
+    It is never silent for long, so only the comparison with its own past speed
+    shows it. When all engines are as slow, moving the streams would gain nothing.
     """
     for peers_spacing_s, expected in ((GAP_S, {SuspicionReason.SLOW}), (20 * GAP_S, set())):
-        watched = engine()
-        watched.open("a", "b")
-        watched.run("a", "b", steps=600)
-        watched.suspicion.peers_spacing_s = peers_spacing_s
-        watched.run("a", "b", steps=8, gap_s=20 * GAP_S)
-        dead = {v.reason for v in watched.verdicts if v.level is SuspicionLevel.DEAD}
+        engine = simulated_engine()
+        engine.open("a", "b")
+        engine.run("a", "b", steps=600)
+        engine.suspicion.peers_spacing_s = peers_spacing_s
+        engine.run("a", "b", steps=8, gap_s=20 * GAP_S)
+        dead = {v.reason for v in engine.verdicts if v.level is SuspicionLevel.DEAD}
         assert dead == expected
 
 
-def test_a_slow_engine_that_recovered_is_not_left_again_by_old_figures() -> None:
-    """An engine is slow for a while; a prompt that it takes up later is moved for nothing.
+def test_a_recovered_engine_is_not_slow_by_outdated_statistics() -> None:
+    """Guards against moving a new stream because its engine was slow earlier.
 
-    The spacing of its slow time was still the latest known when the next stream
-    opened, and the stream was called slow before it had a token.
+    When all streams had ended, the spacing of the slow phase was still the most
+    recent one, so the next stream was reported as slow before its first token.
+    """
+    engine = simulated_engine()
+    engine.open("a", "b")
+    engine.run("a", "b", steps=600)
+    engine.run("a", "b", steps=8, gap_s=20 * GAP_S)
+    engine.suspicion.remove_stream("a")
+    engine.suspicion.remove_stream("b")
+    engine.verdicts.clear()
+    engine.suspicion.add_stream("c", now=engine.now, prompt_tokens=2000)
+    engine.stay_silent(1.6)
+    engine.suspicion.add_stream("d", now=engine.now, prompt_tokens=2000)
+    engine.stay_silent(2.8)
+    assert SuspicionReason.SLOW not in {v.reason for v in engine.verdicts}
+
+
+def test_a_long_prefill_is_not_dead_but_a_missing_first_token_is() -> None:
+    """Guards against moving a long prompt during its prefill, and against waiting without limit.
+
+    An engine sends nothing during the prefill, which looks like a dead engine.
     """
-    watched = engine()
-    watched.open("a", "b")
-    watched.run("a", "b", steps=600)
-    watched.run("a", "b", steps=8, gap_s=20 * GAP_S)
-    watched.suspicion.remove_stream("a")
-    watched.suspicion.remove_stream("b")
-    watched.verdicts.clear()
-    watched.suspicion.add_stream("c", now=watched.now, prompt_tokens=2000)
-    watched.silent(1.6)
-    watched.suspicion.add_stream("d", now=watched.now, prompt_tokens=2000)
-    watched.silent(2.8)
-    assert SuspicionReason.SLOW not in {v.reason for v in watched.verdicts}
-
-
-def test_a_long_prefill_is_no_death_and_a_first_token_that_never_comes_is() -> None:
-    watched = engine()
-    watched.suspicion.add_stream("long", now=watched.now, prompt_tokens=4000)
-    watched.silent(2.4)
-    assert ("long", SuspicionLevel.DEAD) not in watched.levels()
-    watched.silent(20.0)
-    assert ("long", SuspicionLevel.DEAD) in watched.levels()
+    engine = simulated_engine()
+    engine.suspicion.add_stream("long", now=engine.now, prompt_tokens=4000)
+    engine.stay_silent(2.4)
+    assert ("long", SuspicionLevel.DEAD) not in engine.levels()
+    engine.stay_silent(20.0)
+    assert ("long", SuspicionLevel.DEAD) in engine.levels()
 
 
 @settings(max_examples=60, deadline=None)
@@ -173,18 +185,19 @@
     streams=st.integers(1, 6),
     longest_s=st.floats(0.01, 0.31),
 )
-def test_spacing_below_the_floor_is_never_death_and_a_freeze_always_is(
+def test_gaps_below_the_minimum_are_never_dead_and_a_freeze_always_is(
     seed: int, method: str, streams: int, longest_s: float
 ) -> None:
+    """Irregular gaps give no verdict; silence beyond ``dead_at_most_s`` is always dead."""
     rng = random.Random(seed)
-    watched = engine(method=method)
+    engine = simulated_engine(method=method)
     names = [str(i) for i in range(streams)]
-    watched.open(*names)
+    engine.open(*names)
     for _ in range(80):
-        watched.step(*names, gap_s=rng.uniform(0.002, longest_s))
-    assert watched.verdicts == []
-    watched.silent(DetectionSettings().dead_at_most_s + 0.01)
-    assert {(name, SuspicionLevel.DEAD) for name in names} <= watched.levels()
+        engine.step(*names, gap_s=rng.uniform(0.002, longest_s))
+    assert engine.verdicts == []
+    engine.stay_silent(DetectionSettings().dead_at_most_s + 0.01)
+    assert {(name, SuspicionLevel.DEAD) for name in names} <= engine.levels()
 
 
 @settings(max_examples=60, deadline=None)
@@ -193,31 +206,32 @@
         st.tuples(st.sampled_from("abc"), st.integers(1, 5000), st.booleans()), max_size=200
     )
 )
-def test_false_hedges_cost_at_most_the_share_and_one_burst(
+def test_false_hedges_cost_at_most_the_budget_share_and_one_burst(
     hedges: list[tuple[str, int, bool]],
 ) -> None:
-    """Engines are suspected again and again; some proved dead, the others went on."""
-    chosen = DetectionSettings(hedge_burst_tokens=3000.0)
-    budget = HedgeBudget(settings=chosen)
+    """Engines are hedged repeatedly; some stay silent and are dead, others send tokens again."""
+    detection = DetectionSettings(hedge_burst_tokens=3000.0)
+    budget = HedgeBudget(settings=detection)
     now = 0.0
     served = wasted = 0
-    for engine_name, tokens, proved_dead in hedges:
+    for engine_name, tokens, is_dead in hedges:
         now += 1.0
         spent = budget.try_spend(engine=engine_name, tokens=tokens, now=now)
-        if proved_dead:
-            now += 2 * REFUND_AFTER_FACTOR * chosen.dead_at_most_s
+        if is_dead:
+            now += 2 * REFUND_AFTER_FACTOR * detection.dead_at_most_s
             budget.refund_dead_engines(now)
             continue
         budget.record_served(engine=engine_name, tokens=tokens)
         served += tokens
         wasted += tokens if spent else 0
-    assert wasted <= chosen.hedge_budget * served + chosen.hedge_burst_tokens + 1e-6
+    assert wasted <= detection.hedge_budget * served + detection.hedge_burst_tokens + 1e-6
 
 
-def test_the_hedges_of_a_dead_engine_are_paid_back() -> None:
-    chosen = DetectionSettings(hedge_burst_tokens=3000.0)
-    budget = HedgeBudget(settings=chosen)
+def test_the_hedges_of_a_dead_engine_are_refunded() -> None:
+    """Guards against a budget that real failures use up, so that later streams get no hedge."""
+    detection = DetectionSettings(hedge_burst_tokens=3000.0)
+    budget = HedgeBudget(settings=detection)
     assert budget.try_spend(engine="a", tokens=2000, now=1.0)
     assert not budget.try_spend(engine="b", tokens=2000, now=1.0)
-    budget.refund_dead_engines(1.0 + REFUND_AFTER_FACTOR * chosen.dead_at_most_s)
+    budget.refund_dead_engines(1.0 + REFUND_AFTER_FACTOR * detection.dead_at_most_s)
     assert budget.remaining_tokens == 3000.0
