--- a/lagoonlever/decisions/claims/write_check.py
+++ b/lagoonlever/decisions/claims/write_check.py
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class RefreshTargets:
-    """This process's view of the targets may be out of date: refresh it, then check again."""
+    """The view of the targets may be out of date after a pause: refresh it, then check again."""
 
 
 @dataclass(frozen=True, kw_only=True)
--- a/lagoonlever/tests/at_most_once_tests.py
+++ b/lagoonlever/tests/at_most_once_tests.py
@@ -196,7 +196,8 @@
 
     A VM is killed while the service works on two bids, and the caller retries each
     twice at the other VM, which cannot know what ran. The caller disconnects after
-    half a second per bid; the service takes much longer (6 s), so both still run when the VM is killed.
+    half a second per bid; the service takes much longer (6 s), so both still run when
+    the VM is killed.
     """
     with deployment(tmp_path, service_s=6.0) as site:
         keys = ["bid-1", site.mint(0, "random-12345678")]
