--- a/lagoonlever/decisions/streams/stream_lifecycle.py
+++ b/lagoonlever/decisions/streams/stream_lifecycle.py
@@ -168,7 +168,7 @@
     position: int | None = None
     response_started: bool = False
     """Whether the head of the response was sent to the caller."""
-    whole: bool = False
+    complete: bool = False
     """Whether the stream ended completely."""
     runs: int = 0
     """Number of attempts that an engine may have run: those sent and not refused."""
--- a/lagoonlever/gateway/stream_attempt.py
+++ b/lagoonlever/gateway/stream_attempt.py
@@ -244,7 +244,7 @@
         await self._accepted.exchange.finish()
         self._count("answered")
         self._counts.whole(self._now)
-        self._life.whole = True
+        self._life.complete = True
         self._tools.beliefs.book.avoidance.record_success(self._plan.engine.id)
         self._tools.crashes.served(self._accepted)
         await self._copies.free()
