--- a/lagoonlever/decisions/streams/stream_lifecycle.py
+++ b/lagoonlever/decisions/streams/stream_lifecycle.py
@@ -170,7 +170,7 @@
     """Whether the head of the response was sent to the caller."""
     complete: bool = False
     """Whether the stream ended completely."""
-    runs: int = 0
+    possible_runs: int = 0
     """Number of attempts that an engine may have run: those sent and not refused."""
     sent: int = 0
     """Number of attempts that were sent to an engine."""
@@ -227,9 +227,9 @@
 
     def next_step(self) -> Step:
         """Return what to do next; called while no attempt is open."""
-        if self.runs and not self._repeatable:
+        if self.possible_runs and not self._repeatable:
             return self._give_up()
-        if self.runs >= self._max_attempts or self._refusals >= MAX_REFUSALS:
+        if self.possible_runs >= self._max_attempts or self._refusals >= MAX_REFUSALS:
             return self._give_up()
         if self._no_engine:
             if not self.response_started and (
@@ -288,7 +288,7 @@
         ``copy`` is the copy that the engine keeps of this attempt, if any.
         """
         self.sent += 1
-        self.runs += 1
+        self.possible_runs += 1
         self._copy = None
         self._prefer = None
         self._copy_of_open_attempt = copy
@@ -304,7 +304,7 @@
 
     def record_refusal(self, engine: str, detail: str) -> None:
         """Record that an engine refused the request, and so has not run it."""
-        self.runs -= 1
+        self.possible_runs -= 1
         self._refusals += 1
         self._avoided_engines.add(engine)
         self._copy = None
@@ -329,7 +329,7 @@
     @property
     def may_repeat(self) -> bool:
         """Whether another attempt may follow the open one."""
-        return self._repeatable and self.runs < self._max_attempts
+        return self._repeatable and self.possible_runs < self._max_attempts
 
     @property
     def may_resume(self) -> bool:
@@ -361,4 +361,6 @@
         return EventVerdict.FORWARD
 
     def _give_up(self) -> GiveUp:
-        return GiveUp(may_have_run=self.runs > 0, detail=self._detail or "no engine takes it now")
+        return GiveUp(
+            may_have_run=self.possible_runs > 0, detail=self._detail or "no engine takes it now"
+        )
