--- a/lagoonlever/decisions/streams/stream_lifecycle.py
+++ b/lagoonlever/decisions/streams/stream_lifecycle.py
@@ -172,7 +172,7 @@
     """Whether the stream ended completely."""
     possible_runs: int = 0
     """Number of attempts that an engine may have run: those sent and not refused."""
-    sent: int = 0
+    sent_attempts: int = 0
     """Number of attempts that were sent to an engine."""
     timing: StreamTiming = attrs.field(factory=StreamTiming)
     _refusals: int = 0
@@ -244,7 +244,9 @@
         if self._copy is not None:
             return ResumeFromCopy(copy=self._copy)
         return PlaceAttempt(
-            avoid=frozenset(self._avoided_engines), prefer=self._prefer, after_loss=self.sent > 0
+            avoid=frozenset(self._avoided_engines),
+            prefer=self._prefer,
+            after_loss=self.sent_attempts > 0,
         )
 
     def discard_copy(self) -> None:
@@ -287,7 +289,7 @@
 
         ``copy`` is the copy that the engine keeps of this attempt, if any.
         """
-        self.sent += 1
+        self.sent_attempts += 1
         self.possible_runs += 1
         self._copy = None
         self._prefer = None
--- a/lagoonlever/gateway/stream_attempt.py
+++ b/lagoonlever/gateway/stream_attempt.py
@@ -174,7 +174,7 @@
         """Write and relay; gives the head if the connection may be kept."""
         plan = self._plan
         self._life.record_sent(copy=plan.run.copy)
-        ticket = self._tools.words.sent(plan.engine.id, first=self._life.sent == 1)
+        ticket = self._tools.words.sent(plan.engine.id, first=self._life.sent_attempts == 1)
         self._peers.begin(plan.run)
         self._log_sent()
         self._counts.sent(whole_answer=plan.copy_from is None and not self._life.position)
@@ -491,7 +491,7 @@
             request=self._accepted.request_id,
             part=plan.run.part,
             target=plan.engine.id,
-            attempt=self._life.sent,
+            attempt=self._life.sent_attempts,
             position=self._life.position,
             copy=plan.run.copy_holder,
             rank=self._rank,
