--- a/lagoonlever/decisions/streams/stream_lifecycle.py
+++ b/lagoonlever/decisions/streams/stream_lifecycle.py
@@ -133,7 +133,7 @@
         """Discard the gaps of the previous attempt, which may have run at another engine."""
         self._gaps.clear()
 
-    def event_s(self) -> float | None:
+    def undisturbed_event_s(self) -> float | None:
         """Return the seconds per event while the engine prefills no other prompt.
 
         Return None while too few gaps are known.
@@ -148,7 +148,7 @@
 
         Return None while it is unknown, and if no prefill shows in the gaps.
         """
-        usual_s = self.event_s()
+        usual_s = self.undisturbed_event_s()
         if not usual_s:
             return None
         ordered = sorted(self._gaps)
