--- a/lagoonlever/decisions/streams/silence.py
+++ b/lagoonlever/decisions/streams/silence.py
@@ -114,7 +114,7 @@
 
     _sent_at: float
     _first_query_s: float = FIRST_QUERY_S
-    _pause_allowed_s: float = PAUSE_ALLOWED_S
+    _max_pause_s: float = PAUSE_ALLOWED_S
     _last_event_at: float = attrs.field(default=attrs.Factory(lambda self: self._sent_at, True))
     _query_at: float = attrs.field(
         default=attrs.Factory(lambda self: self._sent_at + self._first_query_s, True)
@@ -183,7 +183,7 @@
     @property
     def _query_delay_s(self) -> float:
         """Silence in seconds after which the engine is queried."""
-        max_s = QUERY_SHARE_OF_PAUSE * self._pause_allowed_s
+        max_s = QUERY_SHARE_OF_PAUSE * self._max_pause_s
         usual_s = max(MIN_SUSPECT_S, QUERY_AFTER_GAPS * self._mean_gap_s)
         return max(min(max_s, usual_s), USUAL_GAPS * self._mean_gap_s)
 
--- a/lagoonlever/gateway/stream_attempt.py
+++ b/lagoonlever/gateway/stream_attempt.py
@@ -212,7 +212,7 @@
             first_query_s=first_query_delay_s(
                 usual_reading_s=usual_s, objective_s=route.objective_s
             ),
-            pause_allowed_s=route.pause_objective_s or PAUSE_ALLOWED_S,
+            max_pause_s=route.pause_objective_s or PAUSE_ALLOWED_S,
         )
 
     async def _relay(
--- a/lagoonlever/tests/stream_silence_tests.py
+++ b/lagoonlever/tests/stream_silence_tests.py
@@ -102,7 +102,7 @@
 
 
 def test_half_of_the_pause_that_a_route_accepts_is_left_for_the_resume() -> None:
-    silence = SilenceDetector(sent_at=0.0, pause_allowed_s=0.3)
+    silence = SilenceDetector(sent_at=0.0, max_pause_s=0.3)
     for number in range(30):
         silence.record_event(1.0 + 0.08 * number)
     step = silence.next_step(1.0 + 0.08 * 29)
