--- a/lagoonlever/gateway/stream_attempt.py
+++ b/lagoonlever/gateway/stream_attempt.py
@@ -11,7 +11,7 @@
 from lagoonlever.decisions.engines.target_crashes import WEIGHT_QUEUED, WEIGHT_STARTED
 from lagoonlever.decisions.streams.engine_runs import RunCopy
 from lagoonlever.decisions.streams.silence import (
-    PAUSE_ALLOWED_S,
+    DEFAULT_MAX_PAUSE_S,
     QueryEngine,
     RunStatus,
     SilenceDetector,
@@ -212,7 +212,7 @@
             first_query_s=first_query_delay_s(
                 usual_reading_s=usual_s, objective_s=route.objective_s
             ),
-            max_pause_s=route.pause_objective_s or PAUSE_ALLOWED_S,
+            max_pause_s=route.pause_objective_s or DEFAULT_MAX_PAUSE_S,
         )
 
     async def _relay(
--- a/lagoonlever/tests/stream_silence_tests.py
+++ b/lagoonlever/tests/stream_silence_tests.py
@@ -5,7 +5,7 @@
 from lagoonlever.decisions.streams.silence import (
     FIRST_QUERY_S,
     MIN_SUSPECT_S,
-    PAUSE_ALLOWED_S,
+    DEFAULT_MAX_PAUSE_S,
     QUERY_SHARE_OF_PAUSE,
     AttemptLost,
     QueryEngine,
@@ -34,7 +34,7 @@
     silence, last = flowing(spacing_s=0.23)
     step = silence.next_step(last)
     assert isinstance(step, WaitUntil)
-    assert MIN_SUSPECT_S < step.at - last <= QUERY_SHARE_OF_PAUSE * PAUSE_ALLOWED_S + 1e-9
+    assert MIN_SUSPECT_S < step.at - last <= QUERY_SHARE_OF_PAUSE * DEFAULT_MAX_PAUSE_S + 1e-9
 
 
 def test_an_attempt_is_lost_if_its_engine_does_not_answer() -> None:
