--- a/lagoonlever/decisions/streams/silence.py
+++ b/lagoonlever/decisions/streams/silence.py
@@ -95,7 +95,7 @@
     """The engine did not answer the query."""
     RUNNING = "running"
     """The report lists the run."""
-    NOT_THERE = "not-there"
+    NOT_LISTED = "not-there"
     """The report does not list the run."""
     STARTED_AGAIN = "started-again"
     """The engine was restarted as a new process, which has no earlier runs."""
@@ -173,7 +173,7 @@
             self._loss_reason = f"silent for {silent_s:.2f} s, and its engine has started again"
         elif status is RunStatus.PREEMPTED:
             self._loss_reason = f"silent for {silent_s:.2f} s, and its engine has preempted it"
-        elif status is RunStatus.NOT_THERE and silent_s >= UNLISTED_TIMEOUT_S:
+        elif status is RunStatus.NOT_LISTED and silent_s >= UNLISTED_TIMEOUT_S:
             self._loss_reason = f"silent for {silent_s:.2f} s and does not run it"
         elif events_ahead >= UNDELIVERED_EVENTS and silent_s >= UNDELIVERED_TIMEOUT_S:
             self._loss_reason = f"silent for {silent_s:.2f} s with {events_ahead} events made"
--- a/lagoonlever/gateway/stream_attempt.py
+++ b/lagoonlever/gateway/stream_attempt.py
@@ -526,4 +526,4 @@
     unnamed = report.waiting + max(0, report.running - len(report.runs))
     if report.waiting or (unnamed and not flowing):
         return RunStatus.QUEUED
-    return RunStatus.NOT_THERE
+    return RunStatus.NOT_LISTED
--- a/lagoonlever/tests/stream_silence_tests.py
+++ b/lagoonlever/tests/stream_silence_tests.py
@@ -70,9 +70,9 @@
 
 def test_a_run_that_is_not_listed_for_long_is_lost() -> None:
     silence = SilenceDetector(sent_at=0.0)
-    silence.record_status(RunStatus.NOT_THERE, 0.4)
+    silence.record_status(RunStatus.NOT_LISTED, 0.4)
     assert not isinstance(silence.next_step(0.4), AttemptLost)
-    silence.record_status(RunStatus.NOT_THERE, 1.0)
+    silence.record_status(RunStatus.NOT_LISTED, 1.0)
     assert isinstance(silence.next_step(1.0), AttemptLost)
 
 
