--- a/lagoonlever/decisions/streams/silence.py
+++ b/lagoonlever/decisions/streams/silence.py
@@ -97,7 +97,7 @@
     """The report lists the run."""
     NOT_LISTED = "not-there"
     """The report does not list the run."""
-    STARTED_AGAIN = "started-again"
+    ENGINE_RESTARTED = "started-again"
     """The engine was restarted as a new process, which has no earlier runs."""
     QUEUED = "queued"
     """The engine has queued requests, and the run may be one of them."""
@@ -169,7 +169,7 @@
             return
         self._unanswered = 0
         self._suspected = False
-        if status is RunStatus.STARTED_AGAIN:
+        if status is RunStatus.ENGINE_RESTARTED:
             self._loss_reason = f"silent for {silent_s:.2f} s, and its engine has started again"
         elif status is RunStatus.PREEMPTED:
             self._loss_reason = f"silent for {silent_s:.2f} s, and its engine has preempted it"
--- a/lagoonlever/gateway/stream_attempt.py
+++ b/lagoonlever/gateway/stream_attempt.py
@@ -295,7 +295,7 @@
         run = report.run(self._accepted.request_id) if report else None
         answer = _answer_of(report, run, flowing=self._flowing)
         if run is None and self._flowing and self._has_started_again():
-            answer = RunStatus.STARTED_AGAIN
+            answer = RunStatus.ENGINE_RESTARTED
         elif report is not None and self._is_preempted(report, silence):
             answer = RunStatus.PREEMPTED
         ahead = run.events - (self._life.position or 0) if run else 0
--- a/lagoonlever/tests/stream_silence_tests.py
+++ b/lagoonlever/tests/stream_silence_tests.py
@@ -118,5 +118,5 @@
 
 def test_a_run_is_lost_if_its_engine_was_restarted() -> None:
     silence, last = flowing()
-    silence.record_status(RunStatus.STARTED_AGAIN, last + 0.2)
+    silence.record_status(RunStatus.ENGINE_RESTARTED, last + 0.2)
     assert isinstance(silence.next_step(last + 0.2), AttemptLost)
