--- a/lagoonlever/decisions/streams/silence.py
+++ b/lagoonlever/decisions/streams/silence.py
@@ -91,7 +91,7 @@
 class RunStatus(enum.Enum):
     """State of a run according to its engine's load report."""
 
-    NONE = "none"
+    NO_REPORT = "none"
     """The engine did not answer the query."""
     RUNNING = "running"
     """The report lists the run."""
@@ -161,7 +161,7 @@
         received.
         """
         silent_s = now - self._last_event_at
-        if status is RunStatus.NONE:
+        if status is RunStatus.NO_REPORT:
             self._unanswered += 1
             if self._flowing or self._suspected or self._unanswered > 1:
                 self._loss_reason = f"silent for {silent_s:.2f} s and does not answer"
--- a/lagoonlever/gateway/stream_attempt.py
+++ b/lagoonlever/gateway/stream_attempt.py
@@ -520,7 +520,7 @@
 def _answer_of(report: EngineReport | None, run: RunReport | None, *, flowing: bool) -> RunStatus:
     """Read a report; an engine lists a run by name only once it has made a token."""
     if report is None:
-        return RunStatus.NONE
+        return RunStatus.NO_REPORT
     if run is not None:
         return RunStatus.RUNNING
     unnamed = report.waiting + max(0, report.running - len(report.runs))
--- a/lagoonlever/tests/stream_silence_tests.py
+++ b/lagoonlever/tests/stream_silence_tests.py
@@ -39,7 +39,7 @@
 
 def test_an_attempt_is_lost_if_its_engine_does_not_answer() -> None:
     silence, last = flowing()
-    silence.record_status(RunStatus.NONE, last + 0.25)
+    silence.record_status(RunStatus.NO_REPORT, last + 0.25)
     step = silence.next_step(last + 0.25)
     assert isinstance(step, AttemptLost) and step.unanswered
 
@@ -54,9 +54,9 @@
     """A prefill takes a second; the loss of one packet of the query must not waste it."""
     silence = SilenceDetector(sent_at=0.0)
     assert isinstance(silence.next_step(FIRST_QUERY_S), QueryEngine)
-    silence.record_status(RunStatus.NONE, 0.5)
+    silence.record_status(RunStatus.NO_REPORT, 0.5)
     assert isinstance(silence.next_step(0.5), QueryEngine)
-    silence.record_status(RunStatus.NONE, 0.6)
+    silence.record_status(RunStatus.NO_REPORT, 0.6)
     assert isinstance(silence.next_step(0.6), AttemptLost)
 
 
@@ -64,7 +64,7 @@
     silence = SilenceDetector(sent_at=0.0)
     silence.suspect(0.2)
     assert isinstance(silence.next_step(0.2), QueryEngine)
-    silence.record_status(RunStatus.NONE, 0.3)
+    silence.record_status(RunStatus.NO_REPORT, 0.3)
     assert isinstance(silence.next_step(0.3), AttemptLost)
 
 
