--- a/lagoonlever/decisions/streams/silence.py
+++ b/lagoonlever/decisions/streams/silence.py
@@ -138,7 +138,7 @@
         self._unanswered = 0
         self._query_at = now + self._query_delay_s
 
-    def suspect(self, now: float) -> None:
+    def query_at_once(self, now: float) -> None:
         """Query at once, because other streams lost this engine or engines near it.
 
         One unanswered query is then enough to treat the attempt as lost.
--- a/lagoonlever/tests/stream_silence_tests.py
+++ b/lagoonlever/tests/stream_silence_tests.py
@@ -62,7 +62,7 @@
 
 def test_a_loss_that_other_streams_have_seen_needs_only_one_query() -> None:
     silence = SilenceDetector(sent_at=0.0)
-    silence.suspect(0.2)
+    silence.query_at_once(0.2)
     assert isinstance(silence.next_step(0.2), QueryEngine)
     silence.record_status(RunStatus.NO_REPORT, 0.3)
     assert isinstance(silence.next_step(0.3), AttemptLost)
