--- a/lagoonlever/decisions/streams/generation.py
+++ b/lagoonlever/decisions/streams/generation.py
@@ -256,7 +256,7 @@
             return decisions + self._give_up(Reason.ATTEMPTS_EXHAUSTED, "every attempt broke")
         return [*decisions, self._dispatch(resume=True)]
 
-    def not_admitted(self, *, attempt: int, answer: NotRun) -> list[Decision]:
+    def on_not_admitted(self, *, attempt: int, answer: NotRun) -> list[Decision]:
         """Handle an attempt that was refused admission because no slot came free in time.
 
         A request of which nothing was sent ends with ``answer`` at once. A request that is
--- a/lagoonlever/entry/generations/task.py
+++ b/lagoonlever/entry/generations/task.py
@@ -245,7 +245,7 @@
                 self._life.on_attempt_failed(attempt=attempt, cause=FailureCause.NO_TARGET)
             )
         else:
-            self._carry_out(self._life.not_admitted(attempt=attempt, answer=answer))
+            self._carry_out(self._life.on_not_admitted(attempt=attempt, answer=answer))
 
     async def _attempt(self, running: _RunningAttempt, placement: Placement) -> FailureCause | None:
         dispatch = running.dispatch
