--- a/lagoonlever/decisions/streams/generation.py
+++ b/lagoonlever/decisions/streams/generation.py
@@ -138,7 +138,7 @@
         return tuple(self._open_attempts)
 
     @property
-    def released(self) -> int:
+    def released_tokens(self) -> int:
         """The number of tokens released in the current generation."""
         return self._answer.offset if self._answer else 0
 
@@ -156,7 +156,7 @@
                 first,
                 reattach=True,
                 reattach_target=point.target,
-                reattach_after=self.released - point.attempt_start,
+                reattach_after=self.released_tokens - point.attempt_start,
             )
         ]
 
@@ -321,7 +321,7 @@
         )
 
     def _has_all_tokens(self) -> bool:
-        return self.released >= self._spec.max_tokens
+        return self.released_tokens >= self._spec.max_tokens
 
     def _next_attempt_number(self) -> int:
         """Return a number that increases with each attempt and ends in random bits."""
@@ -397,7 +397,7 @@
             self._retried_avoided = True
             if self._attempts_started < self._limits.attempts:
                 return [self._dispatch(resume=True)]
-        if self.released and not self._spec.accepts_restart:
+        if self.released_tokens and not self._spec.accepts_restart:
             return self._give_up(Reason.NO_TARGET, "no engine has the answer's model version")
         if self._answer is not None and self._attempts_started < self._limits.attempts:
             return self._restart()
@@ -405,7 +405,7 @@
 
     def _restart(self) -> list[Decision]:
         """Start a new generation, and announce it if the caller has tokens of the present one."""
-        had_released = self.released > 0
+        had_released = self.released_tokens > 0
         self._generation += 1
         self._seed = generation_seed(self._spec, self._generation)
         self._answer = None
@@ -425,7 +425,7 @@
         """
         if not self._any_attempt_sent:
             return self._finish(NotRun(reason=reason, message=message, retry_after_s=1.0))
-        if self.released:
+        if self.released_tokens:
             return self._finish(Failed(reason=reason, message=message))
         return self._finish(Unknown(reason=reason, message=message))
 
--- a/lagoonlever/entry/generations/task.py
+++ b/lagoonlever/entry/generations/task.py
@@ -136,7 +136,7 @@
 
     def ends_known(self) -> None:
         """Leave engines that have not begun, where the request is known to end them."""
-        if self._life.finished is not None or self._life.released:
+        if self._life.finished is not None or self._life.released_tokens:
             return
         barred = self._engines.refusal(self.spec)
         if barred is not None:
