--- a/lagoonlever/decisions/streams/generation_messages.py
+++ b/lagoonlever/decisions/streams/generation_messages.py
@@ -61,7 +61,7 @@
     OUT_OF_ORDER = "out-of-order"
     ABORTED = "aborted"
     """The engine ended the stream before the answer was complete, for example after a cancel."""
-    NOT_THERE = "not-there"
+    STREAM_NOT_FOUND = "not-there"
     """The engine no longer has the stream to reattach to; it may still accept new work."""
     CALLED_BACK = "called-back"
     """This VM withdrew the stream from the engine; the engine is not at fault."""
@@ -71,11 +71,11 @@
 """Causes which prove that the engine received nothing, so it cannot have run the request."""
 
 TARGET_NOT_TO_BLAME = frozenset(
-    {FailureCause.NO_TARGET, FailureCause.NOT_THERE, FailureCause.CALLED_BACK}
+    {FailureCause.NO_TARGET, FailureCause.STREAM_NOT_FOUND, FailureCause.CALLED_BACK}
 )
 """Causes after which the engine may be chosen again."""
 
-NOTHING_TO_CANCEL = NOTHING_SENT | {FailureCause.REFUSED, FailureCause.NOT_THERE}
+NOTHING_TO_CANCEL = NOTHING_SENT | {FailureCause.REFUSED, FailureCause.STREAM_NOT_FOUND}
 """Causes after which the engine has no stream that would have to be cancelled."""
 
 
--- a/lagoonlever/entry/generations/task.py
+++ b/lagoonlever/entry/generations/task.py
@@ -270,7 +270,7 @@
         except ConnectFailed:
             return FailureCause.CONNECT_FAILED
         except EngineRefused:
-            return FailureCause.NOT_THERE if dispatch.reattach else FailureCause.REFUSED
+            return FailureCause.STREAM_NOT_FOUND if dispatch.reattach else FailureCause.REFUSED
         except PeerError:
             return FailureCause.BROKEN
         return FailureCause.BROKEN if self._life.finished is None else None
