--- a/lagoonlever/decisions/streams/generation_messages.py
+++ b/lagoonlever/decisions/streams/generation_messages.py
@@ -63,7 +63,7 @@
     """The engine ended the stream before the answer was complete, for example after a cancel."""
     STREAM_NOT_FOUND = "not-there"
     """The engine no longer has the stream to reattach to; it may still accept new work."""
-    CALLED_BACK = "called-back"
+    WITHDRAWN = "called-back"
     """This VM withdrew the stream from the engine; the engine is not at fault."""
 
 
@@ -71,7 +71,7 @@
 """Causes which prove that the engine received nothing, so it cannot have run the request."""
 
 TARGET_NOT_TO_BLAME = frozenset(
-    {FailureCause.NO_TARGET, FailureCause.STREAM_NOT_FOUND, FailureCause.CALLED_BACK}
+    {FailureCause.NO_TARGET, FailureCause.STREAM_NOT_FOUND, FailureCause.WITHDRAWN}
 )
 """Causes after which the engine may be chosen again."""
 
--- a/lagoonlever/entry/generations/task.py
+++ b/lagoonlever/entry/generations/task.py
@@ -146,7 +146,7 @@
             if self._is_misplaced(running):
                 running.left = True
                 self._carry_out(
-                    self._life.on_attempt_failed(attempt=number, cause=FailureCause.CALLED_BACK)
+                    self._life.on_attempt_failed(attempt=number, cause=FailureCause.WITHDRAWN)
                 )
 
     def hand_over(self) -> None:
@@ -222,7 +222,7 @@
                 cause = await self._attempt(running, placement)
             finally:
                 if running.scope.cancel_called:
-                    cause = FailureCause.CALLED_BACK if running.left else FailureCause.SILENT
+                    cause = FailureCause.WITHDRAWN if running.left else FailureCause.SILENT
                 self._engines.ended(self.spec, dispatch, placement, cause)
         if cause is not None:
             await self._look_at_end(running, cause)
