--- a/lagoonlever/decisions/streams/run_placement.py
+++ b/lagoonlever/decisions/streams/run_placement.py
@@ -142,7 +142,7 @@
     return _place(request, context, now) or NoEngine()
 
 
-def place_where_ready(
+def place_on_ready_engine(
     request: PlacementRequest, context: PlacementContext, now: float
 ) -> RunOutcome | NoCapacity:
     """Place an attempt that can wait in the queue for an engine that starts it soon.
--- a/lagoonlever/gateway/room_desk.py
+++ b/lagoonlever/gateway/room_desk.py
@@ -32,7 +32,7 @@
     PlacementRequest,
     RunOutcome,
     place_run,
-    place_where_ready,
+    place_on_ready_engine,
     ready_rate,
     reserved_run,
 )
@@ -207,7 +207,7 @@
         view = self._placer.view(ask.service)
         if line.is_stalled(now, max_per_s=ready_rate(ask.service, view, now)):
             return place_run(ask, view, now)
-        return place_where_ready(ask, view, now)
+        return place_on_ready_engine(ask, view, now)
 
     def _give(self, waiting: QueuedPrompt, line: PromptQueue, outcome: RunOutcome) -> None:
         """Tell a VM what was decided, and keep its place until it tells of the run."""
