--- a/lagoonlever/decisions/streams/run_placement.py
+++ b/lagoonlever/decisions/streams/run_placement.py
@@ -157,7 +157,7 @@
     return _place(request, context, now, begins_within_s=BEGINS_WITHIN_S) or NoCapacity()
 
 
-def ready_rate(service: str, context: PlacementContext, now: float) -> float:
+def prefills_per_s(service: str, context: PlacementContext, now: float) -> float:
     """Return the prompts per second that a service's engines can prefill; avoided ones excluded."""
     avoidance = context.book.avoidance
     usable = [e for e in context.targets.serving(service) if not avoidance.is_avoided(e.id, now)]
--- a/lagoonlever/gateway/room_desk.py
+++ b/lagoonlever/gateway/room_desk.py
@@ -33,7 +33,7 @@
     RunOutcome,
     place_run,
     place_on_ready_engine,
-    ready_rate,
+    prefills_per_s,
     reserved_run,
 )
 from lagoonlever.gateway import events, metrics
@@ -184,7 +184,7 @@
                 self._turn_away(hopeless.prompt_id, line, _time_over())
         view = self._placer.view(service)
         passed_by = 0
-        for waiting in line.order(now, max_per_s=ready_rate(service, view, now)):
+        for waiting in line.order(now, max_per_s=prefills_per_s(service, view, now)):
             asked = self._open[waiting.prompt_id].asked
             if self._beliefs.book.is_dispatched_after(
                 waiting.request.request_id, waiting.enqueued_at
@@ -205,7 +205,7 @@
         # Chance would only part those who do not know of each other: this VM places them all.
         ask, now = attrs.evolve(ask, crowd=False, allowed_s=None), self._timers.now
         view = self._placer.view(ask.service)
-        if line.is_stalled(now, max_per_s=ready_rate(ask.service, view, now)):
+        if line.is_stalled(now, max_per_s=prefills_per_s(ask.service, view, now)):
             return place_run(ask, view, now)
         return place_on_ready_engine(ask, view, now)
 
@@ -230,7 +230,7 @@
         ask = question.asked.ask
         if not question.asked.need.refusable:
             return False
-        max_per_s = ready_rate(ask.service, self._placer.view(ask.service), now)
+        max_per_s = prefills_per_s(ask.service, self._placer.view(ask.service), now)
         refused = line.rejection(place, now, max_per_s=max_per_s)
         if refused is None:
             return False
@@ -280,7 +280,7 @@
             rank=asked.need.rank,
             ahead=line.count_ahead(place),
             in_time_s=round(asked.need.first_event_in_s, 2),
-            per_s=round(ready_rate(asked.ask.service, view, now), 1),
+            per_s=round(prefills_per_s(asked.ask.service, view, now), 1),
         )
 
     def _tell_late(self, service: str, line: PromptQueue) -> None:
