--- a/lagoonlever/decisions/streams/run_placement.py
+++ b/lagoonlever/decisions/streams/run_placement.py
@@ -117,7 +117,7 @@
     """State of this VM that a placement is decided on."""
 
     book: EngineScheduler
-    window: RetryWindow
+    retry_window: RetryWindow
     """The retry budget."""
     targets: TargetRegistry
     limits: EngineLimits
@@ -132,7 +132,7 @@
 
     ``now`` is in seconds of the monotonic clock.
     """
-    if request.repeat and not context.window.allows(now, vms=context.vms):
+    if request.repeat and not context.retry_window.allows(now, vms=context.vms):
         return RetryBudgetExhausted()
     overloaded = _check_overload(request, context, now)
     if overloaded is not None:
@@ -149,7 +149,7 @@
 
     Return `NoCapacity` while every engine has more prefill work left than `BEGINS_WITHIN_S`.
     """
-    if request.repeat and not context.window.allows(now, vms=context.vms):
+    if request.repeat and not context.retry_window.allows(now, vms=context.vms):
         return RetryBudgetExhausted()
     serving = context.targets.serving(request.service, on_trial=request.on_trial)
     if all(engine.id in request.avoid for engine in serving):
--- a/lagoonlever/gateway/placer.py
+++ b/lagoonlever/gateway/placer.py
@@ -138,7 +138,7 @@
         alone = bool(placement_hubs(self._roles.value, own=self._vm, present=self._present))
         return PlacementContext(
             book=self._beliefs.book,
-            window=self._budgets.of_runs(service),
+            retry_window=self._budgets.of_runs(service),
             targets=self._beliefs.targets,
             limits=self._beliefs.engine_limits(service),
             vms=self._beliefs.fellows.max_fleet_size(self._timers.now) if alone else 1,
--- a/lagoonlever/tests/run_placement_tests.py
+++ b/lagoonlever/tests/run_placement_tests.py
@@ -49,7 +49,7 @@
     targets.apply_list(listed, revision=at(1), now=0.0, store_back_at=None)
     return PlacementContext(
         book=EngineScheduler(rng=random.Random(1), data_center="a"),
-        window=RetryWindow(ratio=0.8, window_s=10.0, slack=5.0),
+        retry_window=RetryWindow(ratio=0.8, window_s=10.0, slack=5.0),
         targets=targets,
         limits=LIMITS,
     )
@@ -128,7 +128,7 @@
     retry = attrs.evolve(REQUEST, repeat=True)
     assert isinstance(place_run(retry, context, 0.0), Placed)
     for _ in range(5):
-        context.window.record_retry(0.0)
+        context.retry_window.record_retry(0.0)
     assert isinstance(place_run(retry, context, 0.0), RetryBudgetExhausted)
     assert isinstance(place_run(REQUEST, context, 0.0), Placed)
 
