--- a/lagoonlever/decisions/streams/run_placement.py
+++ b/lagoonlever/decisions/streams/run_placement.py
@@ -121,7 +121,7 @@
     """The retry budget."""
     targets: TargetRegistry
     limits: EngineLimits
-    vms: int = 1
+    vm_count: int = 1
     """Number of VMs that share the window's slack; 1 if the window counts the runs of all VMs."""
     ranked: bool = False
     """Whether streams of the service differ in rank."""
@@ -132,7 +132,7 @@
 
     ``now`` is in seconds of the monotonic clock.
     """
-    if request.repeat and not context.retry_window.allows(now, vms=context.vms):
+    if request.repeat and not context.retry_window.allows(now, vms=context.vm_count):
         return RetryBudgetExhausted()
     overloaded = _check_overload(request, context, now)
     if overloaded is not None:
@@ -149,7 +149,7 @@
 
     Return `NoCapacity` while every engine has more prefill work left than `BEGINS_WITHIN_S`.
     """
-    if request.repeat and not context.retry_window.allows(now, vms=context.vms):
+    if request.repeat and not context.retry_window.allows(now, vms=context.vm_count):
         return RetryBudgetExhausted()
     serving = context.targets.serving(request.service, on_trial=request.on_trial)
     if all(engine.id in request.avoid for engine in serving):
--- a/lagoonlever/gateway/placer.py
+++ b/lagoonlever/gateway/placer.py
@@ -141,7 +141,7 @@
             retry_window=self._budgets.of_runs(service),
             targets=self._beliefs.targets,
             limits=self._beliefs.engine_limits(service),
-            vms=self._beliefs.fellows.max_fleet_size(self._timers.now) if alone else 1,
+            vm_count=self._beliefs.fellows.max_fleet_size(self._timers.now) if alone else 1,
             ranked=has_ranks(self._beliefs.configuration.value, service, RouteKind.STREAM),
         )
 
