--- a/lagoonlever/decisions/streams/run_placement.py
+++ b/lagoonlever/decisions/streams/run_placement.py
@@ -123,7 +123,7 @@
     limits: EngineLimits
     vm_count: int = 1
     """Number of VMs that share the window's slack; 1 if the window counts the runs of all VMs."""
-    ranked: bool = False
+    ranks_differ: bool = False
     """Whether streams of the service differ in rank."""
 
 
--- a/lagoonlever/gateway/placer.py
+++ b/lagoonlever/gateway/placer.py
@@ -142,7 +142,7 @@
             targets=self._beliefs.targets,
             limits=self._beliefs.engine_limits(service),
             vm_count=self._beliefs.fellows.max_fleet_size(self._timers.now) if alone else 1,
-            ranked=has_ranks(self._beliefs.configuration.value, service, RouteKind.STREAM),
+            ranks_differ=has_ranks(self._beliefs.configuration.value, service, RouteKind.STREAM),
         )
 
     @property
