--- a/lagoonlever/decisions/streams/engine_runs.py
+++ b/lagoonlever/decisions/streams/engine_runs.py
@@ -20,7 +20,7 @@
     holder_started_ms: int | None = None
     """Start time of the holder's process that received the copy; None if it was unknown."""
 
-    def is_void(self, engine: str, started_ms: int | None) -> bool:
+    def is_lost(self, engine: str, started_ms: int | None) -> bool:
         """Check whether the copy is lost because its holder was restarted.
 
         ``started_ms`` is the start time of the process of ``engine``; None if it is unknown.
--- a/lagoonlever/gateway/copy_keeper.py
+++ b/lagoonlever/gateway/copy_keeper.py
@@ -108,7 +108,7 @@
         if target is None or not self._beliefs.targets.takes_work(target.id):
             return False
         copy = self._called_copy or self._run.copy
-        if copy is not None and copy.is_void(target.id, target.started_ms):
+        if copy is not None and copy.is_lost(target.id, target.started_ms):
             return False
         return not self._beliefs.book.avoidance.is_avoided(target.id, self._timers.now)
 
--- a/lagoonlever/tests/engine_book_tests.py
+++ b/lagoonlever/tests/engine_book_tests.py
@@ -218,7 +218,7 @@
 
 def test_a_copy_is_void_once_its_holder_has_restarted() -> None:
     copy = RunCopy(holder="e1", address=ENGINES[0].address, name="c", holder_started_ms=100)
-    assert copy.is_void("e1", 200)
-    assert not copy.is_void("e1", 100)
-    assert not copy.is_void("e1", None)
-    assert not copy.is_void("e2", 200)
+    assert copy.is_lost("e1", 200)
+    assert not copy.is_lost("e1", 100)
+    assert not copy.is_lost("e1", None)
+    assert not copy.is_lost("e2", 200)
