--- a/lagoonlever/decisions/streams/copy_policy.py
+++ b/lagoonlever/decisions/streams/copy_policy.py
@@ -57,7 +57,7 @@
         self.kind = CopyKind.GROWING if holder else CopyKind.NONE
         self.holder = holder
 
-    def due(self, now: float, *, holder_usable: bool) -> bool:
+    def is_copy_due(self, now: float, *, holder_usable: bool) -> bool:
         """Check whether an on-demand copy of the run is due.
 
         ``holder_usable`` is false if the holder of the present copy is lost or leaves.
--- a/lagoonlever/gateway/copy_keeper.py
+++ b/lagoonlever/gateway/copy_keeper.py
@@ -65,7 +65,7 @@
         while True:
             await trio.sleep(CHECK_S)
             usable = self._is_usable(keeping.holder)
-            if not self.flowing or not keeping.due(self._timers.now, holder_usable=usable):
+            if not self.flowing or not keeping.is_copy_due(self._timers.now, holder_usable=usable):
                 continue
             to = await self._new_holder(keeping.holder if usable else None)
             copied = await self._copy_to(to)
--- a/lagoonlever/tests/engine_reports_tests.py
+++ b/lagoonlever/tests/engine_reports_tests.py
@@ -81,12 +81,12 @@
     """Guards against a run resumed from a copy that is a second old, whose tokens are repeated."""
     keeping = CopyPolicy(retention_s=4.0)
     keeping.record_copy("e2", 10.0)
-    assert not keeping.due(11.2, holder_usable=True)
+    assert not keeping.is_copy_due(11.2, holder_usable=True)
     keeping.set_engine_departure(11.2 + LAST_COPY_S)
-    assert not keeping.due(11.1, holder_usable=True)
-    assert keeping.due(11.2, holder_usable=True)
+    assert not keeping.is_copy_due(11.1, holder_usable=True)
+    assert keeping.is_copy_due(11.2, holder_usable=True)
     keeping.record_copy("e2", 11.2)
-    assert not keeping.due(11.4, holder_usable=True)
+    assert not keeping.is_copy_due(11.4, holder_usable=True)
 
 
 def preempted(**more: object) -> bool:
