--- a/lagoonlever/decisions/streams/copy_policy.py
+++ b/lagoonlever/decisions/streams/copy_policy.py
@@ -13,7 +13,7 @@
 
 import attrs
 
-CHECK_S = 0.2
+CHECK_INTERVAL_S = 0.2
 """Interval in seconds at which a run's copy is checked."""
 REFRESH_SHARE_OF_RETENTION = 0.4
 """Share of an unused copy's retention time after which it is refreshed: two refreshes may fail."""
--- a/lagoonlever/gateway/copy_keeper.py
+++ b/lagoonlever/gateway/copy_keeper.py
@@ -10,7 +10,7 @@
 
 from lagoonlever.decisions.settings.configuration import EngineLimits
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS, gives
-from lagoonlever.decisions.streams.copy_policy import CHECK_S, CopyPolicy
+from lagoonlever.decisions.streams.copy_policy import CHECK_INTERVAL_S, CopyPolicy
 from lagoonlever.decisions.streams.engine_runs import EngineRun, RunCopy
 from lagoonlever.decisions.streams.run_placement import Placed, PlacementRequest
 from lagoonlever.decisions.targets.listed_target import ListedTarget
@@ -63,7 +63,7 @@
         keeping = self._keeping
         keeping.record_incremental_copy(self._run.copy_holder)
         while True:
-            await trio.sleep(CHECK_S)
+            await trio.sleep(CHECK_INTERVAL_S)
             usable = self._is_usable(keeping.holder)
             if not self.flowing or not keeping.is_copy_due(self._timers.now, holder_usable=usable):
                 continue
