--- a/lagoonlever/decisions/streams/copy_policy.py
+++ b/lagoonlever/decisions/streams/copy_policy.py
@@ -33,7 +33,7 @@
     """On demand: made by a call, and not updated after it."""
 
 
-LAST_COPY_S = 0.6
+LAST_COPY_LEAD_S = 0.6
 """Time in seconds before the run's engine leaves at which a last copy is made.
 
 It leaves time for one call to fail and be retried.
@@ -68,7 +68,7 @@
             return True
         if self.kind is not CopyKind.CALLED:
             return False
-        last_at = self._leaves_at - LAST_COPY_S
+        last_at = self._leaves_at - LAST_COPY_LEAD_S
         stale = now - self._made_at >= REFRESH_SHARE_OF_RETENTION * self._retention_s
         return stale or self._made_at < last_at <= now
 
--- a/lagoonlever/tests/engine_reports_tests.py
+++ b/lagoonlever/tests/engine_reports_tests.py
@@ -12,7 +12,7 @@
     should_leave_queue,
 )
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS
-from lagoonlever.decisions.streams.copy_policy import LAST_COPY_S, CopyPolicy
+from lagoonlever.decisions.streams.copy_policy import LAST_COPY_LEAD_S, CopyPolicy
 from lagoonlever.gateway.messages import EngineReport
 from lagoonlever.platform.engine_calls import Report, read_report
 
@@ -82,7 +82,7 @@
     keeping = CopyPolicy(retention_s=4.0)
     keeping.record_copy("e2", 10.0)
     assert not keeping.is_copy_due(11.2, holder_usable=True)
-    keeping.set_engine_departure(11.2 + LAST_COPY_S)
+    keeping.set_engine_departure(11.2 + LAST_COPY_LEAD_S)
     assert not keeping.is_copy_due(11.1, holder_usable=True)
     assert keeping.is_copy_due(11.2, holder_usable=True)
     keeping.record_copy("e2", 11.2)
