--- a/lagoonlever/decisions/streams/run_records.py
+++ b/lagoonlever/decisions/streams/run_records.py
@@ -30,7 +30,7 @@
     ended_at: float | None = None
     whole: bool = False
     """Whether the run ended with a complete answer."""
-    beside_prompts: bool = False
+    shared_prefill: bool = False
     """Whether its engine had another prompt to prefill at the same time."""
     sent: bool = True
     """False while the run has only a reserved placement and was never sent to an engine."""
@@ -112,7 +112,7 @@
         record = RunRecord(run=run, since=now)
         for other in self.unread_at(run.engine):
             if other.run.request != run.request:
-                record.beside_prompts = other.beside_prompts = True
+                record.shared_prefill = other.beside_prompts = True
         self._records[run.request] = record
         return record
 
