--- a/lagoonlever/decisions/streams/run_records.py
+++ b/lagoonlever/decisions/streams/run_records.py
@@ -25,7 +25,7 @@
     """Latest known state of one run; points in time are seconds of the monotonic clock."""
 
     run: EngineRun
-    since: float
+    recorded_at: float
     """When the run was recorded or its placement reserved."""
     ended_at: float | None = None
     whole: bool = False
@@ -42,7 +42,7 @@
         more, or after its reservation lapsed.
         """
         if not self.sent:
-            return now - self.since > RESERVATION_S
+            return now - self.recorded_at > RESERVATION_S
         return self.ended_at is not None and now - self.ended_at > keep_s
 
 
@@ -109,7 +109,7 @@
 
     def _add(self, run: EngineRun, now: float) -> RunRecord:
         """Store a new record, and mark the prefills that it shares its engine with."""
-        record = RunRecord(run=run, since=now)
+        record = RunRecord(run=run, recorded_at=now)
         for other in self.unread_at(run.engine):
             if other.run.request != run.request:
                 record.shared_prefill = other.beside_prompts = True
