--- a/lagoonlever/decisions/streams/run_records.py
+++ b/lagoonlever/decisions/streams/run_records.py
@@ -28,7 +28,7 @@
     recorded_at: float
     """When the run was recorded or its placement reserved."""
     ended_at: float | None = None
-    whole: bool = False
+    complete: bool = False
     """Whether the run ended with a complete answer."""
     shared_prefill: bool = False
     """Whether its engine had another prompt to prefill at the same time."""
