--- a/lagoonlever/decisions/engines/engine_scheduler.py
+++ b/lagoonlever/decisions/engines/engine_scheduler.py
@@ -123,7 +123,7 @@
         ``part`` is the id of the segment that only this prompt has, which identifies a caller
         that returns.
         """
-        record = self._records.last_of(part)
+        record = self._records.find_by_segment(part)
         if record is None or record.whole:
             return None
         return record.run
--- a/lagoonlever/decisions/streams/run_records.py
+++ b/lagoonlever/decisions/streams/run_records.py
@@ -64,7 +64,7 @@
         """Return the record of a request, or None."""
         return self._records.get(request)
 
-    def last_of(self, part: str) -> RunRecord | None:
+    def find_by_segment(self, part: str) -> RunRecord | None:
         """Return the last record of a prompt segment, or None."""
         return self._records.get(self._request_by_segment.get(part, ""))
 
