--- a/lagoonlever/decisions/engines/engine_scheduler.py
+++ b/lagoonlever/decisions/engines/engine_scheduler.py
@@ -446,7 +446,7 @@
         per_prompt_s = PROMPT_COST * self.timings.usual_prefill_s(record.run.service)
         return sum(
             per_prompt_s + self._prefill_left_s(other, now)
-            for other in self._records.unread_at(record.run.engine)
+            for other in self._records.prefilling_at(record.run.engine)
             if other is not record and self._is_before(other, record)
         )
 
--- a/lagoonlever/decisions/streams/run_records.py
+++ b/lagoonlever/decisions/streams/run_records.py
@@ -68,7 +68,7 @@
         """Return the last record of a prompt segment, or None."""
         return self._records.get(self._request_by_segment.get(part, ""))
 
-    def unread_at(self, engine: str) -> list[RunRecord]:
+    def prefilling_at(self, engine: str) -> list[RunRecord]:
         """Return the open runs at an engine whose prompts are not prefilled yet."""
         return [
             record
@@ -110,7 +110,7 @@
     def _add(self, run: EngineRun, now: float) -> RunRecord:
         """Store a new record, and mark the prefills that it shares its engine with."""
         record = RunRecord(run=run, recorded_at=now)
-        for other in self.unread_at(run.engine):
+        for other in self.prefilling_at(run.engine):
             if other.run.request != run.request:
                 record.shared_prefill = other.beside_prompts = True
         self._records[run.request] = record
