--- a/lagoonlever/decisions/engines/engine_scheduler.py
+++ b/lagoonlever/decisions/engines/engine_scheduler.py
@@ -156,7 +156,7 @@
         loads = self._compute_loads(now)
         if begins_within_s is not None:
             need_tokens = min(memory_tokens, limits.memory_tokens)
-            unread = self._records.unread()
+            unread = self._records.prefilling_by_engine()
             candidates = [
                 engine
                 for engine in healthy
--- a/lagoonlever/decisions/streams/run_records.py
+++ b/lagoonlever/decisions/streams/run_records.py
@@ -76,7 +76,7 @@
             if record.run.engine == engine and record.ended_at is None and not record.run.flowing
         ]
 
-    def unread(self) -> dict[str, list[RunRecord]]:
+    def prefilling_by_engine(self) -> dict[str, list[RunRecord]]:
         """Return the open runs whose prompts are not prefilled yet, by engine."""
         by_engine: dict[str, list[RunRecord]] = {}
         for record in self._records.values():
