--- a/lagoonlever/decisions/engines/engine_scheduler.py
+++ b/lagoonlever/decisions/engines/engine_scheduler.py
@@ -310,7 +310,7 @@
     def record_dispatch(self, run: EngineRun, now: float) -> None:
         """Record a run that was sent to an engine, in place of the request's former run."""
         self._prefill_window.record_prompt(run.service, tokens=run.prompt_tokens, now=now)
-        self._records.enter(run, now)
+        self._records.record_sent(run, now)
 
     def record_reported_run(self, run: EngineRun, now: float) -> None:
         """Record a run that another VM reports, unless the VM that relays it has told more.
@@ -318,7 +318,7 @@
         The run started before, so it doesn't count as a prompt that engines receive now.
         """
         if self._records.find(run.request) is None:
-            self._records.enter(run, now)
+            self._records.record_sent(run, now)
 
     def record_copy(self, request: str, copy: RunCopy) -> bool:
         """Record the copy of a run; return whether it differs from the one that was known.
--- a/lagoonlever/decisions/streams/run_records.py
+++ b/lagoonlever/decisions/streams/run_records.py
@@ -84,7 +84,7 @@
                 by_engine.setdefault(record.run.engine, []).append(record)
         return by_engine
 
-    def enter(self, run: EngineRun, now: float) -> None:
+    def record_sent(self, run: EngineRun, now: float) -> None:
         """Record a run that was sent to an engine, in place of an earlier one of its request."""
         self._add(run, now)
         if run.part is not None:
