--- a/lagoonlever/decisions/engines/engine_scheduler.py
+++ b/lagoonlever/decisions/engines/engine_scheduler.py
@@ -386,7 +386,7 @@
         The ends of these runs would never be recorded, and engines that were busy once would
         appear busy for good.
         """
-        self._records.forget_others(vm)
+        self._records.discard_others(vm)
 
     def record_restart(self, engine: str, started_ms: int, now: float) -> None:
         """End the runs and drop the copies of an engine's former process after a restart.
--- a/lagoonlever/decisions/streams/run_records.py
+++ b/lagoonlever/decisions/streams/run_records.py
@@ -95,7 +95,7 @@
         previous = self._records.get(run.request)
         self._add(run, now).sent = previous is not None and previous.sent
 
-    def forget_others(self, vm: str) -> None:
+    def discard_others(self, vm: str) -> None:
         """Remove the runs of all VMs but ``vm``."""
         for record in list(self._records.values()):
             if record.run.vm != vm:
