--- a/lagoonlever/decisions/streams/orphans.py
+++ b/lagoonlever/decisions/streams/orphans.py
@@ -49,7 +49,7 @@
 
     _reported_to: dict[str, Incarnation] = attrs.field(factory=dict)
 
-    def due(self, open_since: dict[str, float], now: float) -> list[str]:
+    def due_reports(self, open_since: dict[str, float], now: float) -> list[str]:
         """Return the ids of the open streams that are now old enough to be reported.
 
         Streams that were reported already are left out.
--- a/lagoonlever/entry/generations/orphans.py
+++ b/lagoonlever/entry/generations/orphans.py
@@ -66,7 +66,7 @@
         open_streams = self._engines.open_streams
         by_holder: defaultdict[Member, list[StreamRecord]] = defaultdict(list)
         since = {name: stream.since for name, stream in open_streams.items()}
-        for name in self._reporter.due(since, now):
+        for name in self._reporter.due_reports(since, now):
             stream = open_streams[name]
             for holder in select_record_holders(stream.request_id, view, count=1):
                 by_holder[holder].append(StreamRecord(stream_id=name, engine=stream.engine))
--- a/lagoonlever/tests/orphans_tests.py
+++ b/lagoonlever/tests/orphans_tests.py
@@ -138,8 +138,8 @@
     reporter = StreamReporter()
     open_since = {"short": 10.0, "long": 5.0}
     now = 5.0 + RECORD_AFTER_S
-    assert reporter.due(open_since, now) == ["long"]
+    assert reporter.due_reports(open_since, now) == ["long"]
     reporter.record_report("long", incarnation("holder"))
-    assert reporter.due(open_since, now) == []
+    assert reporter.due_reports(open_since, now) == []
     assert reporter.ended({"short": 10.0}) == [("long", incarnation("holder"))]
     assert reporter.ended({}) == []
