--- a/lagoonlever/decisions/streams/orphans.py
+++ b/lagoonlever/decisions/streams/orphans.py
@@ -64,7 +64,7 @@
         """Record that a stream was reported to the peer ``holder``."""
         self._reported_to[stream_id] = holder
 
-    def ended(self, open_since: dict[str, float]) -> list[tuple[str, Incarnation]]:
+    def pop_ended(self, open_since: dict[str, float]) -> list[tuple[str, Incarnation]]:
         """Return the reported streams that have ended, each with its peer, and forget them."""
         ended = [(name, at) for name, at in self._reported_to.items() if name not in open_since]
         for name, _ in ended:
--- a/lagoonlever/entry/generations/orphans.py
+++ b/lagoonlever/entry/generations/orphans.py
@@ -78,7 +78,7 @@
     def _tell_closed(self, view: MemberView) -> None:
         since = {name: stream.since for name, stream in self._engines.open_streams.items()}
         by_holder: defaultdict[Member, list[str]] = defaultdict(list)
-        for name, incarnation in self._reporter.ended(since):
+        for name, incarnation in self._reporter.pop_ended(since):
             holder = view.find(incarnation)
             if holder is not None:
                 by_holder[holder].append(name)
--- a/lagoonlever/tests/orphans_tests.py
+++ b/lagoonlever/tests/orphans_tests.py
@@ -141,5 +141,5 @@
     assert reporter.due_reports(open_since, now) == ["long"]
     reporter.record_report("long", incarnation("holder"))
     assert reporter.due_reports(open_since, now) == []
-    assert reporter.ended({"short": 10.0}) == [("long", incarnation("holder"))]
-    assert reporter.ended({}) == []
+    assert reporter.pop_ended({"short": 10.0}) == [("long", incarnation("holder"))]
+    assert reporter.pop_ended({}) == []
