--- a/lagoonlever/decisions/streams/orphans.py
+++ b/lagoonlever/decisions/streams/orphans.py
@@ -98,7 +98,7 @@
             if kept is not None and kept.owner == owner:
                 del self._records[stream_id]
 
-    def due(self, view: MemberView, now: float) -> list[StreamRecord]:
+    def pop_due(self, view: MemberView, now: float) -> list[StreamRecord]:
         """Return the streams to cancel, whose owner has been lost for the grace time.
 
         Their records are removed, so each stream is returned once.
--- a/lagoonlever/entry/generations/orphans.py
+++ b/lagoonlever/entry/generations/orphans.py
@@ -58,7 +58,7 @@
         view = self._members.value
         self._tell_opened(view, tick.now)
         self._tell_closed(view)
-        for record in self._holder.due(view, tick.now):
+        for record in self._holder.pop_due(view, tick.now):
             ORPHAN_CANCELLED.log(log, stream=record.stream_id, engine=str(record.engine))
             self._background.start_soon(cancel_stream, record.engine, record.stream_id)
 
--- a/lagoonlever/tests/orphans_tests.py
+++ b/lagoonlever/tests/orphans_tests.py
@@ -98,7 +98,7 @@
         self.check()
 
     def check(self) -> None:
-        due = self.holder.due(view(self.states), self.now)
+        due = self.holder.pop_due(view(self.states), self.now)
         for record in due:
             owner = self.owners.pop(record.stream_id)
             assert owner in self.lost_since, "the stream of a live VM was cancelled"
