--- a/lagoonlever/decisions/streams/orphans.py
+++ b/lagoonlever/decisions/streams/orphans.py
@@ -116,7 +116,7 @@
                 del self._records[stream_id]
         return orphans
 
-    def paused(self, seconds: float) -> None:
+    def discount_pause(self, seconds: float) -> None:
         """Exclude a pause of this VM from the time for which owners have been lost.
 
         While it was paused, this VM could not learn that an owner was alive again.
--- a/lagoonlever/entry/generations/orphans.py
+++ b/lagoonlever/entry/generations/orphans.py
@@ -54,7 +54,7 @@
 
     def _on_tick(self, tick: Tick) -> None:
         if tick.paused_s:
-            self._holder.paused(tick.paused_s)
+            self._holder.discount_pause(tick.paused_s)
         view = self._members.value
         self._tell_opened(view, tick.now)
         self._tell_closed(view)
--- a/lagoonlever/tests/orphans_tests.py
+++ b/lagoonlever/tests/orphans_tests.py
@@ -93,7 +93,7 @@
     def pause(self, seconds: float) -> None:
         """Pause the holder, which meanwhile cannot learn whether owners are alive again."""
         self.now += seconds
-        self.holder.paused(seconds)
+        self.holder.discount_pause(seconds)
         self.lost_since = {owner: at + seconds for owner, at in self.lost_since.items()}
         self.check()
 
