--- a/lagoonlever/entry/generations/orphans.py
+++ b/lagoonlever/entry/generations/orphans.py
@@ -10,7 +10,7 @@
 
 from lagoonlever.decisions.membership.membership import Member, MemberView
 from lagoonlever.decisions.streams.orphans import OrphanRegistry, StreamRecord, StreamReporter
-from lagoonlever.decisions.streams.placement import select_record_holders
+from lagoonlever.decisions.streams.record_placement import select_record_holders
 from lagoonlever.entry.engines.engines import Engines
 from lagoonlever.entry.generations.attempt import cancel_stream
 from lagoonlever.events import event
--- a/lagoonlever/tests/placement_tests.py
+++ b/lagoonlever/tests/placement_tests.py
@@ -11,7 +11,7 @@
 
 from lagoonlever.decisions.fleet.addresses import AddressesSettings, choose_entry_addresses
 from lagoonlever.decisions.membership.membership import Member, MemberState, MemberView
-from lagoonlever.decisions.streams.placement import select_record_holders
+from lagoonlever.decisions.streams.record_placement import select_record_holders
 from lagoonlever.http.messages import Address
 from lagoonlever.identity import Incarnation
 
