--- a/lagoonlever/gateway/stream_admission.py
+++ b/lagoonlever/gateway/stream_admission.py
@@ -18,7 +18,7 @@
     StreamLifecycle,
     WaitForEngine,
 )
-from lagoonlever.decisions.streams.time import min_time_s
+from lagoonlever.decisions.streams.stream_time import min_time_s
 from lagoonlever.gateway import events
 from lagoonlever.gateway.accepted import Accepted
 from lagoonlever.gateway.beliefs import Beliefs
--- a/lagoonlever/tests/engine_paces_tests.py
+++ b/lagoonlever/tests/engine_paces_tests.py
@@ -10,7 +10,7 @@
 from lagoonlever.decisions.engines.engine_scheduler import EngineScheduler
 from lagoonlever.decisions.engines.engine_timings import PRIOR_PROMPT_TOKEN_S, EngineTimings
 from lagoonlever.decisions.streams.engine_runs import EngineRun
-from lagoonlever.decisions.streams.time import min_time_s
+from lagoonlever.decisions.streams.stream_time import min_time_s
 from lagoonlever.tests.engine_book_tests import ENGINES, LIMITS
 
 SERVICE = "engines"
