--- a/lagoonlever/decisions/streams/resume.py
+++ b/lagoonlever/decisions/streams/resume.py
@@ -25,7 +25,7 @@
     token_ids: tuple[int, ...]
 
 
-def point_of_held(
+def resume_point_from_held(
     spec: GenerationSpec, held: HeldAnswer | None, last: EventId
 ) -> ResumePoint | None:
     """Return the resume point of a caller that sent its tokens, or None if they do not match.
--- a/lagoonlever/entry/generations/generations.py
+++ b/lagoonlever/entry/generations/generations.py
@@ -17,7 +17,7 @@
     GenerationSpec,
     ResumePoint,
 )
-from lagoonlever.decisions.streams.resume import point_of_held
+from lagoonlever.decisions.streams.resume import resume_point_from_held
 from lagoonlever.entry.callers.callers import CallerDirectory
 from lagoonlever.entry.callers.completion_checks import (
     check_allowed,
@@ -212,7 +212,7 @@
         Where its tokens are lost, a new generation begins if the caller can tell
         it from the one it holds.
         """
-        point = point_of_held(call.spec, call.held, last)
+        point = resume_point_from_held(call.spec, call.held, last)
         if point is None:
             point = await self._resume_points.find(call.spec, last)
         if point is None and last.offset and not call.spec.accepts_restart:
--- a/lagoonlever/entry/generations/recovery.py
+++ b/lagoonlever/entry/generations/recovery.py
@@ -12,7 +12,7 @@
 import trio
 
 from lagoonlever.decisions.streams.generation_messages import GenerationSpec, ResumePoint
-from lagoonlever.decisions.streams.resume import HeldAnswer, point_of_held
+from lagoonlever.decisions.streams.resume import HeldAnswer, resume_point_from_held
 from lagoonlever.decisions.targets.targets import TargetView
 from lagoonlever.entry.callers.chunk_reader import ChunkReader
 from lagoonlever.events import event
@@ -115,7 +115,7 @@
         prompt_token_ids=head.prompt_token_ids[:end_of_prompt],
         token_ids=head.prompt_token_ids[end_of_prompt:] + own_tokens,
     )
-    return point_of_held(spec, held, last)
+    return resume_point_from_held(spec, held, last)
 
 
 async def _read_head(
--- a/lagoonlever/tests/generation_tests.py
+++ b/lagoonlever/tests/generation_tests.py
@@ -19,7 +19,7 @@
     Finish,
     ResumePoint,
 )
-from lagoonlever.decisions.streams.resume import HeldAnswer, point_of_held
+from lagoonlever.decisions.streams.resume import HeldAnswer, resume_point_from_held
 from lagoonlever.fakes.tokens import (
     expected_output,
 )
@@ -287,7 +287,7 @@
             prompt_token_ids=PROMPT,
             token_ids=answer.token_ids,
         )
-        point = point_of_held(self.harness.lifecycle.spec, held, last.event_id)
+        point = resume_point_from_held(self.harness.lifecycle.spec, held, last.event_id)
         assert isinstance(point, ResumePoint)
         previous = self.harness
         self.harness = Harness(
