--- a/lagoonlever/decisions/streams/answer.py
+++ b/lagoonlever/decisions/streams/answer.py
@@ -168,7 +168,7 @@
             )
         return source
 
-    def adopt(self, piece: ReleasedPiece) -> None:
+    def append_released(self, piece: ReleasedPiece) -> None:
         """Append a piece that another VM released.
 
         Raises ``ValueError`` if its offset or digest does not continue this answer.
--- a/lagoonlever/decisions/streams/generation.py
+++ b/lagoonlever/decisions/streams/generation.py
@@ -309,7 +309,7 @@
         self._answer = self._start_answer(point.model_version)
         self._any_attempt_sent = True
         for piece in point.pieces:
-            self._answer.adopt(piece)
+            self._answer.append_released(piece)
 
     def _start_answer(self, model_version: str) -> Answer:
         """Return an empty answer of the current generation."""
