--- a/lagoonlever/decisions/streams/answer.py
+++ b/lagoonlever/decisions/streams/answer.py
@@ -182,7 +182,7 @@
         self._token_ids.extend(piece.token_ids)
         self._pieces.append(piece)
 
-    def index_after(self, last: EventId) -> int | None:
+    def next_piece_index(self, last: EventId) -> int | None:
         """Return the index of the first piece that a caller lacks.
 
         Return None if the caller holds other tokens than these: those of another generation,
--- a/lagoonlever/entry/callers/stream.py
+++ b/lagoonlever/entry/callers/stream.py
@@ -144,7 +144,7 @@
             await self._task.wait_change()
             self._check_superseded()
         answer = self._task.life.answer
-        index = answer.index_after(last) if answer is not None else None
+        index = answer.next_piece_index(last) if answer is not None else None
         if index is None:
             await self._restart()
             return
