--- a/lagoonlever/gateway/room_desk.py
+++ b/lagoonlever/gateway/room_desk.py
@@ -31,8 +31,8 @@
     Placed,
     PlacementRequest,
     RunOutcome,
-    place_run,
     place_on_ready_engine,
+    place_run,
     prefills_per_s,
     reserved_run,
 )
--- a/lagoonlever/tests/stream_silence_tests.py
+++ b/lagoonlever/tests/stream_silence_tests.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from lagoonlever.decisions.streams.silence import (
+    DEFAULT_MAX_PAUSE_S,
     FIRST_QUERY_S,
     MIN_SUSPECT_S,
-    DEFAULT_MAX_PAUSE_S,
     QUERY_SHARE_OF_PAUSE,
     AttemptLost,
     QueryEngine,
