--- a/lagoonlever/bench/stream_day_model.py
+++ b/lagoonlever/bench/stream_day_model.py
@@ -215,7 +215,7 @@
 
     def _refused(self, stream: ModelStream, now: float) -> bool:
         """Refuse a new prompt that engines can't bear; its caller may come back later."""
-        if stream.life.sent or stream.life.position or not self._policy.admission:
+        if stream.life.sent_attempts or stream.life.position or not self._policy.admission:
             return False
         making_s = self._book.timings.usual_decode_s(SERVICE)
         if making_s is None:
@@ -317,7 +317,7 @@
         if left == 0:
             stream.ended_at = at
             self._leave(stream, at)
-            event_s = stream.life.timing.event_s()
+            event_s = stream.life.timing.undisturbed_event_s()
             token_s = None if event_s is None else event_s / stream.event_tokens
             self._book.record_end(
                 stream.request,
--- a/lagoonlever/decisions/engines/engine_scheduler.py
+++ b/lagoonlever/decisions/engines/engine_scheduler.py
@@ -124,7 +124,7 @@
         that returns.
         """
         record = self._records.find_by_segment(part)
-        if record is None or record.whole:
+        if record is None or record.complete:
             return None
         return record.run
 
@@ -286,7 +286,7 @@
     def is_dispatched_after(self, request: str, at: float) -> bool:
         """Check whether a request is known to have been sent to an engine after a time."""
         record = self._records.find(request)
-        return record is not None and record.sent and record.since > at
+        return record is not None and record.sent and record.recorded_at > at
 
     def find_relay_vm(self, request: str) -> str | None:
         """Return the VM that relays a run, or None if the run is not known."""
@@ -339,8 +339,8 @@
         run = record.run
         record.run = attrs.evolve(run, flowing=True)
         self._last_prefill_at[run.engine] = now
-        if not record.beside_prompts:
-            seconds = now - record.since
+        if not record.shared_prefill:
+            seconds = now - record.recorded_at
             self.timings.observe_prefill(
                 run.service, run.engine, tokens=run.prompt_tokens, seconds=seconds, now=now
             )
@@ -365,7 +365,7 @@
         if record is None or record.ended_at is not None:
             return
         record.ended_at = now
-        record.whole = whole
+        record.complete = whole
         run = record.run
         if whole:
             self.timings.observe_answer(run.service, tokens=tokens, now=now)
@@ -398,7 +398,7 @@
             run = record.run
             if run.engine == engine and run.engine_started_ms != started_ms:
                 record.ended_at = now if record.ended_at is None else record.ended_at
-            if run.copy is not None and run.copy.is_void(engine, started_ms):
+            if run.copy is not None and run.copy.is_lost(engine, started_ms):
                 record.run = attrs.evolve(run, copy=None)
 
     def expire(self, now: float) -> None:
@@ -458,7 +458,7 @@
             self._uneven.prefill_s(record.run.service, engine, record.run.prompt_tokens, now)
             for record in unread
         ]
-        first_at = min(record.since for record in unread)
+        first_at = min(record.recorded_at for record in unread)
         began_at = max(first_at, self._last_prefill_at.get(engine, first_at))
         return max(
             sum(whole_s) - (now - began_at), sum(whole_s[1:]) + MIN_PREFILL_LEFT * whole_s[0]
@@ -466,15 +466,15 @@
 
     def _is_before(self, one: RunRecord, other: RunRecord) -> bool:
         """Check whether a run comes before another one, in an order that all VMs agree on."""
-        if abs(one.since - other.since) > self.news_s:
-            return one.since < other.since
+        if abs(one.recorded_at - other.since) > self.news_s:
+            return one.recorded_at < other.since
         return one.run.request < other.run.request
 
     def _prefill_left_s(self, record: RunRecord, now: float) -> float:
         """Return the remaining prefill time of a run, as if its prefill began at its dispatch."""
         run = record.run
         whole_s = self._uneven.prefill_s(run.service, run.engine, run.prompt_tokens, now)
-        return max(whole_s * MIN_PREFILL_LEFT, whole_s - (now - record.since))
+        return max(whole_s * MIN_PREFILL_LEFT, whole_s - (now - record.recorded_at))
 
     def _uneven_choice(
         self,
--- a/lagoonlever/decisions/streams/run_placement.py
+++ b/lagoonlever/decisions/streams/run_placement.py
@@ -228,7 +228,7 @@
         run_engine=engine,
         memory_tokens=request.memory_tokens,
         now=now,
-        by_losses=context.ranked,
+        by_losses=context.ranks_differ,
     )
     return holder.id if holder is not None else None
 
--- a/lagoonlever/decisions/streams/run_records.py
+++ b/lagoonlever/decisions/streams/run_records.py
@@ -112,7 +112,7 @@
         record = RunRecord(run=run, recorded_at=now)
         for other in self.prefilling_at(run.engine):
             if other.run.request != run.request:
-                record.shared_prefill = other.beside_prompts = True
+                record.shared_prefill = other.shared_prefill = True
         self._records[run.request] = record
         return record
 
--- a/lagoonlever/entry/callers/stream.py
+++ b/lagoonlever/entry/callers/stream.py
@@ -61,7 +61,7 @@
 
 def _usage(task: GenerationTask) -> CallerUsage:
     prompt = len(task.life.prompt_token_ids or ())
-    completion = task.life.released
+    completion = task.life.released_tokens
     return CallerUsage(
         prompt_tokens=prompt, completion_tokens=completion, total_tokens=prompt + completion
     )
--- a/lagoonlever/entry/generations/generations.py
+++ b/lagoonlever/entry/generations/generations.py
@@ -322,8 +322,8 @@
     def _drop_beyond_bound(self) -> None:
         """Drop the oldest kept answers, so that few long ones take no more than many short."""
         kept = [key for key, task in self._tasks.items() if task.ended_at is not None]
-        tokens = sum(self._tasks[key].life.released for key in kept)
+        tokens = sum(self._tasks[key].life.released_tokens for key in kept)
         for left, key in zip(range(len(kept), 0, -1), kept, strict=True):
             if left <= self._settings.answers_kept and tokens <= self._settings.tokens_kept:
                 return
-            tokens -= self._tasks.pop(key).life.released
+            tokens -= self._tasks.pop(key).life.released_tokens
--- a/lagoonlever/gateway/attempt_planner.py
+++ b/lagoonlever/gateway/attempt_planner.py
@@ -152,7 +152,7 @@
         holder = targets.find(copy.holder)
         if holder is None or not targets.takes_work(copy.holder):
             return None
-        if copy.is_void(holder.id, holder.started_ms):
+        if copy.is_lost(holder.id, holder.started_ms):
             return None
         if self._beliefs.book.avoidance.is_avoided(copy.holder, self._timers.now):
             return None
@@ -169,7 +169,7 @@
 def stream_need(accepted: Accepted, life: StreamLifecycle) -> float:
     """Give the permits that must be saved at an engine in need before it gets a stream."""
     return required_permits(
-        priority=accepted.priority, begun=life.position is not None, first=life.sent == 0
+        priority=accepted.priority, begun=life.position is not None, first=life.sent_attempts == 0
     )
 
 
@@ -178,14 +178,14 @@
 ) -> PlacementRequest:
     """Give what an attempt needs; ``copies`` tells whether engines copy runs as they grow."""
     ask = generation_ask(accepted)
-    is_new = not life.sent and not life.position
+    is_new = not life.sent_attempts and not life.position
     asked = PlacementRequest(
         request=accepted.request_id,
         service=accepted.service,
         prompt_tokens=ask.prompt_tokens,
         memory_tokens=ask.prompt_tokens + ask.output_tokens,
         part=ask.own_part,
-        repeat=life.sent > 0,
+        repeat=life.sent_attempts > 0,
         copies=copies and accepted.route.repeatable,
         on_trial=accepted.on_trial and is_new,
         allowed_s=accepted.route.timeout_s if is_new else None,
@@ -207,7 +207,7 @@
         first_event_in_s=accepted.arrived + accepted.route.objective_s - now,
         end_in_s=accepted.left_s(now),
         broken_off=life.response_started or bool(life.position),
-        refusable=not life.runs and not life.position,
+        refusable=not life.possible_runs and not life.position,
     )
 
 
--- a/lagoonlever/gateway/attempt_tools.py
+++ b/lagoonlever/gateway/attempt_tools.py
@@ -77,4 +77,4 @@
 
     def _suspect(self, engine: str) -> None:
         for silence in self.watched.get(engine, ()):
-            silence.suspect(self.timers.now)
+            silence.query_at_once(self.timers.now)
--- a/lagoonlever/gateway/reporter.py
+++ b/lagoonlever/gateway/reporter.py
@@ -93,7 +93,7 @@
             outcome=ending.outcome,
             seconds=seconds,
             allowed_s=round(accepted.deadline - accepted.arrived, 3),
-            attempts=life.sent,
+            attempts=life.sent_attempts,
             position=life.position,
             first_s=first_s,
             pause_s=life.timing.longest_pause_s,
--- a/lagoonlever/gateway/stream_admission.py
+++ b/lagoonlever/gateway/stream_admission.py
@@ -49,7 +49,7 @@
     ) -> GiveUp | None:
         """Give why a step is not taken, or None where it is."""
         if not self._can_end(accepted, life, step):
-            return GiveUp(may_have_run=life.runs > 0, detail="it can't end in time")
+            return GiveUp(may_have_run=life.possible_runs > 0, detail="it can't end in time")
         return None
 
     @MECHANISMS.register(
--- a/lagoonlever/gateway/streams.py
+++ b/lagoonlever/gateway/streams.py
@@ -59,17 +59,17 @@
             )
             try:
                 await self._serve(accepted, life)
-                whole = life.whole
+                whole = life.complete
             except CallerGone:
                 self._ended(accepted, life, 0, "caller-gone", life.detail)
                 raise
             finally:
-                if life.sent:
+                if life.sent_attempts:
                     self._peers.end(self._ended_run(accepted, life, whole=whole))
 
     def _ended_run(self, accepted: Accepted, life: StreamLifecycle, *, whole: bool) -> RunEnded:
         """Give the end of a run, with the pace that its last engine has shown."""
-        event_s = life.timing.event_s()
+        event_s = life.timing.undisturbed_event_s()
         event_tokens = self._beliefs.engine_limits(accepted.service).event_tokens
         return RunEnded(
             request=accepted.request_id,
@@ -80,7 +80,7 @@
         )
 
     def _is_gone(self, accepted: Accepted, life: StreamLifecycle) -> bool:
-        if life.whole:
+        if life.complete:
             return False
         self._ended(accepted, life, 0, "caller-gone", life.detail)
         return True
@@ -114,7 +114,7 @@
         gave_up: GiveUp | None = None
         with trio.move_on_at(accepted.deadline):
             gave_up = await self._steps(accepted, life)
-        if life.whole:
+        if life.complete:
             self._ended(accepted, life, OK, "done", life.detail)
             return
         if life.response_started:
@@ -125,14 +125,14 @@
         await tell(accepted.exchange, outcome)
 
     async def _steps(self, accepted: Accepted, life: StreamLifecycle) -> GiveUp | None:
-        while not life.whole:
+        while not life.complete:
             step = life.next_step()
             if isinstance(step, GiveUp):
                 return step
             refusal = self._admission.refusal(accepted, life, step)
             if refusal is not None:
                 return refusal
-            if not life.runs and self._tools.words.all_rest(accepted.service):
+            if not life.possible_runs and self._tools.words.all_rest(accepted.service):
                 return GiveUp(may_have_run=False, detail="all engines have asked for rest")
             if isinstance(step, WaitForEngine):
                 await trio.sleep(step.seconds)
@@ -157,9 +157,9 @@
                 placer=self._placer,
             ).run()
             barred = self._tools.crashes.refusal(accepted)
-            if barred is not None and not life.whole:
+            if barred is not None and not life.complete:
                 return GiveUp(
-                    may_have_run=life.runs > 0,
+                    may_have_run=life.possible_runs > 0,
                     detail=barred.message,
                     retry_after_s=barred.retry_after_s,
                 )
@@ -168,7 +168,7 @@
     def _outcome(
         self, accepted: Accepted, life: StreamLifecycle, gave_up: GiveUp | None
     ) -> NotRun | Unknown:
-        if gave_up is None and life.runs:
+        if gave_up is None and life.possible_runs:
             return Unknown(reason=Reason.DEADLINE, message=life.detail or "time is over")
         if gave_up is not None and gave_up.may_have_run:
             return Unknown(reason=Reason.CONNECTION_LOST, message=gave_up.detail, status=502)
--- a/lagoonlever/tests/faulty_requests_tests.py
+++ b/lagoonlever/tests/faulty_requests_tests.py
@@ -102,7 +102,7 @@
                 tasks={("/", str(length)): finished_task(length) for length in (4, 2, 1)},
             )
             service.on_tick(Tick(now=0.0))
-            kept.extend(task.life.released for task in service.tasks)
+            kept.extend(task.life.released_tokens for task in service.tasks)
 
     trio.run(main)
     return kept
--- a/lagoonlever/tests/stop_tests.py
+++ b/lagoonlever/tests/stop_tests.py
@@ -130,7 +130,7 @@
             nursery.start_soon(plain_client, scene)
             service = vm.daemon.parts.generations.service
             await until(lambda: service.running >= 4)
-            await until(lambda: all(task.life.released >= 10 for task in service.tasks))
+            await until(lambda: all(task.life.released_tokens >= 10 for task in service.tasks))
             slow = FaultOrder(kind=FaultKind.SLOW, factor=200)
             scene.cluster.applications["application-1"].inject(slow)
             for number in range(2):
