--- a/lagoonlever/decisions/engines/engine_scheduler.py
+++ b/lagoonlever/decisions/engines/engine_scheduler.py
@@ -466,8 +466,8 @@
 
     def _is_before(self, one: RunRecord, other: RunRecord) -> bool:
         """Check whether a run comes before another one, in an order that all VMs agree on."""
-        if abs(one.recorded_at - other.since) > self.news_s:
-            return one.recorded_at < other.since
+        if abs(one.recorded_at - other.recorded_at) > self.news_s:
+            return one.recorded_at < other.recorded_at
         return one.run.request < other.run.request
 
     def _prefill_left_s(self, record: RunRecord, now: float) -> float:
