--- a/lagoonlever/tests/run_placement_tests.py
+++ b/lagoonlever/tests/run_placement_tests.py
@@ -149,7 +149,7 @@
     request = attrs.evolve(REQUEST, settled="e1", attempt=False)
     outcome = place_run(request, equal_ranks, 0.0)
     assert isinstance(outcome, Placed) and outcome.copy_to is None
-    outcome = place_run(request, attrs.evolve(equal_ranks, ranked=True), 0.0)
+    outcome = place_run(request, attrs.evolve(equal_ranks, ranks_differ=True), 0.0)
     assert isinstance(outcome, Placed) and outcome.copy_to is not None
 
 
