--- a/lagoonlever/decisions/streams/generation_messages.py
+++ b/lagoonlever/decisions/streams/generation_messages.py
@@ -64,7 +64,7 @@
     STREAM_NOT_FOUND = "not-there"
     """The engine no longer has the stream to reattach to; it may still accept new work."""
     WITHDRAWN = "called-back"
-    """This VM withdrew the stream from the engine; the engine is not at fault."""
+    """This VM withdrew the attempt from the engine; the engine is not at fault."""
 
 
 NOTHING_SENT = frozenset({FailureCause.CONNECT_FAILED, FailureCause.NO_TARGET})
--- a/lagoonlever/decisions/streams/orphans.py
+++ b/lagoonlever/decisions/streams/orphans.py
@@ -65,7 +65,7 @@
         self._reported_to[stream_id] = holder
 
     def pop_ended(self, open_since: dict[str, float]) -> list[tuple[str, Incarnation]]:
-        """Return the reported streams that have ended, each with its peer, and forget them."""
+        """Return the reported streams that have ended, each with its peer, and remove them."""
         ended = [(name, at) for name, at in self._reported_to.items() if name not in open_since]
         for name, _ in ended:
             del self._reported_to[name]
--- a/lagoonlever/decisions/streams/run_placement.py
+++ b/lagoonlever/decisions/streams/run_placement.py
@@ -122,7 +122,7 @@
     targets: TargetRegistry
     limits: EngineLimits
     vm_count: int = 1
-    """Number of VMs that share the window's slack; 1 if the window counts the runs of all VMs."""
+    """Number of VMs that share the slack of `retry_window`; 1 if it counts the runs of all VMs."""
     ranks_differ: bool = False
     """Whether streams of the service differ in rank."""
 
@@ -145,7 +145,7 @@
 def place_on_ready_engine(
     request: PlacementRequest, context: PlacementContext, now: float
 ) -> RunOutcome | NoCapacity:
-    """Place an attempt that can wait in the queue for an engine that starts it soon.
+    """Place a queued attempt on an engine that starts it soon.
 
     Return `NoCapacity` while every engine has more prefill work left than `BEGINS_WITHIN_S`.
     """
@@ -158,7 +158,10 @@
 
 
 def prefills_per_s(service: str, context: PlacementContext, now: float) -> float:
-    """Return the prompts per second that a service's engines can prefill; avoided ones excluded."""
+    """Return the number of prompts per second that a service's engines can prefill.
+
+    Engines that are avoided at ``now`` are not counted.
+    """
     avoidance = context.book.avoidance
     usable = [e for e in context.targets.serving(service) if not avoidance.is_avoided(e.id, now)]
     return max_prefills_per_s(len(usable), context.book.timings.usual_prefill_s(service))
--- a/lagoonlever/decisions/streams/run_records.py
+++ b/lagoonlever/decisions/streams/run_records.py
@@ -65,7 +65,10 @@
         return self._records.get(request)
 
     def find_by_segment(self, part: str) -> RunRecord | None:
-        """Return the last record of a prompt segment, or None."""
+        """Return the record of the last request of a prompt segment, or None.
+
+        ``part`` is the id of the segment.
+        """
         return self._records.get(self._request_by_segment.get(part, ""))
 
     def prefilling_at(self, engine: str) -> list[RunRecord]:
--- a/lagoonlever/decisions/streams/silence.py
+++ b/lagoonlever/decisions/streams/silence.py
@@ -27,7 +27,8 @@
 The other half is left for the query and the resume.
 """
 DEFAULT_MAX_PAUSE_S = 0.7
-"""Pause that callers accept, in seconds, if the operators' configuration sets none."""
+"""Maximum pause between events that callers accept, in seconds, if the operators' configuration
+sets none."""
 QUERY_AFTER_GAPS = 2.5
 """Number of mean gaps after which the engine is queried, within the limits above."""
 USUAL_GAPS = 1.3
@@ -115,6 +116,7 @@
     _sent_at: float
     _first_query_s: float = FIRST_QUERY_S
     _max_pause_s: float = DEFAULT_MAX_PAUSE_S
+    """Maximum pause between events that the callers accept, in seconds."""
     _last_event_at: float = attrs.field(default=attrs.Factory(lambda self: self._sent_at, True))
     _query_at: float = attrs.field(
         default=attrs.Factory(lambda self: self._sent_at + self._first_query_s, True)
--- a/lagoonlever/decisions/streams/stream_lifecycle.py
+++ b/lagoonlever/decisions/streams/stream_lifecycle.py
@@ -134,7 +134,7 @@
         self._gaps.clear()
 
     def undisturbed_event_s(self) -> float | None:
-        """Return the seconds per event while the engine prefills no other prompt.
+        """Return the seconds per event while no prefill of another prompt disturbs the engine.
 
         Return None while too few gaps are known.
         """
