--- a/lagoonlever/decisions/streams/copy_policy.py
+++ b/lagoonlever/decisions/streams/copy_policy.py
@@ -13,7 +13,7 @@
 
 import attrs
 
-CHECK_S = 0.2
+CHECK_INTERVAL_S = 0.2
 """Interval in seconds at which a run's copy is checked."""
 REFRESH_SHARE_OF_RETENTION = 0.4
 """Share of an unused copy's retention time after which it is refreshed: two refreshes may fail."""
@@ -33,7 +33,7 @@
     """On demand: made by a call, and not updated after it."""
 
 
-LAST_COPY_S = 0.6
+LAST_COPY_LEAD_S = 0.6
 """Time in seconds before the run's engine leaves at which a last copy is made.
 
 It leaves time for one call to fail and be retried.
@@ -57,7 +57,7 @@
         self.kind = CopyKind.GROWING if holder else CopyKind.NONE
         self.holder = holder
 
-    def due(self, now: float, *, holder_usable: bool) -> bool:
+    def is_copy_due(self, now: float, *, holder_usable: bool) -> bool:
         """Check whether an on-demand copy of the run is due.
 
         ``holder_usable`` is false if the holder of the present copy is lost or leaves.
@@ -68,7 +68,7 @@
             return True
         if self.kind is not CopyKind.CALLED:
             return False
-        last_at = self._leaves_at - LAST_COPY_S
+        last_at = self._leaves_at - LAST_COPY_LEAD_S
         stale = now - self._made_at >= REFRESH_SHARE_OF_RETENTION * self._retention_s
         return stale or self._made_at < last_at <= now
 
--- a/lagoonlever/decisions/streams/silence.py
+++ b/lagoonlever/decisions/streams/silence.py
@@ -26,8 +26,9 @@
 
 The other half is left for the query and the resume.
 """
-PAUSE_ALLOWED_S = 0.7
-"""Pause that callers accept, in seconds, if the operators' configuration sets none."""
+DEFAULT_MAX_PAUSE_S = 0.7
+"""Maximum pause between events that callers accept, in seconds, if the operators' configuration
+sets none."""
 QUERY_AFTER_GAPS = 2.5
 """Number of mean gaps after which the engine is queried, within the limits above."""
 USUAL_GAPS = 1.3
@@ -91,13 +92,13 @@
 class RunStatus(enum.Enum):
     """State of a run according to its engine's load report."""
 
-    NONE = "none"
+    NO_REPORT = "none"
     """The engine did not answer the query."""
     RUNNING = "running"
     """The report lists the run."""
-    NOT_THERE = "not-there"
+    NOT_LISTED = "not-there"
     """The report does not list the run."""
-    STARTED_AGAIN = "started-again"
+    ENGINE_RESTARTED = "started-again"
     """The engine was restarted as a new process, which has no earlier runs."""
     QUEUED = "queued"
     """The engine has queued requests, and the run may be one of them."""
@@ -114,7 +115,8 @@
 
     _sent_at: float
     _first_query_s: float = FIRST_QUERY_S
-    _pause_allowed_s: float = PAUSE_ALLOWED_S
+    _max_pause_s: float = DEFAULT_MAX_PAUSE_S
+    """Maximum pause between events that the callers accept, in seconds."""
     _last_event_at: float = attrs.field(default=attrs.Factory(lambda self: self._sent_at, True))
     _query_at: float = attrs.field(
         default=attrs.Factory(lambda self: self._sent_at + self._first_query_s, True)
@@ -138,7 +140,7 @@
         self._unanswered = 0
         self._query_at = now + self._query_delay_s
 
-    def suspect(self, now: float) -> None:
+    def query_at_once(self, now: float) -> None:
         """Query at once, because other streams lost this engine or engines near it.
 
         One unanswered query is then enough to treat the attempt as lost.
@@ -161,7 +163,7 @@
         received.
         """
         silent_s = now - self._last_event_at
-        if status is RunStatus.NONE:
+        if status is RunStatus.NO_REPORT:
             self._unanswered += 1
             if self._flowing or self._suspected or self._unanswered > 1:
                 self._loss_reason = f"silent for {silent_s:.2f} s and does not answer"
@@ -169,11 +171,11 @@
             return
         self._unanswered = 0
         self._suspected = False
-        if status is RunStatus.STARTED_AGAIN:
+        if status is RunStatus.ENGINE_RESTARTED:
             self._loss_reason = f"silent for {silent_s:.2f} s, and its engine has started again"
         elif status is RunStatus.PREEMPTED:
             self._loss_reason = f"silent for {silent_s:.2f} s, and its engine has preempted it"
-        elif status is RunStatus.NOT_THERE and silent_s >= UNLISTED_TIMEOUT_S:
+        elif status is RunStatus.NOT_LISTED and silent_s >= UNLISTED_TIMEOUT_S:
             self._loss_reason = f"silent for {silent_s:.2f} s and does not run it"
         elif events_ahead >= UNDELIVERED_EVENTS and silent_s >= UNDELIVERED_TIMEOUT_S:
             self._loss_reason = f"silent for {silent_s:.2f} s with {events_ahead} events made"
@@ -183,7 +185,7 @@
     @property
     def _query_delay_s(self) -> float:
         """Silence in seconds after which the engine is queried."""
-        max_s = QUERY_SHARE_OF_PAUSE * self._pause_allowed_s
+        max_s = QUERY_SHARE_OF_PAUSE * self._max_pause_s
         usual_s = max(MIN_SUSPECT_S, QUERY_AFTER_GAPS * self._mean_gap_s)
         return max(min(max_s, usual_s), USUAL_GAPS * self._mean_gap_s)
 
--- a/lagoonlever/entry/callers/stream.py
+++ b/lagoonlever/entry/callers/stream.py
@@ -61,7 +61,7 @@
 
 def _usage(task: GenerationTask) -> CallerUsage:
     prompt = len(task.life.prompt_token_ids or ())
-    completion = task.life.released
+    completion = task.life.released_tokens
     return CallerUsage(
         prompt_tokens=prompt, completion_tokens=completion, total_tokens=prompt + completion
     )
@@ -144,7 +144,7 @@
             await self._task.wait_change()
             self._check_superseded()
         answer = self._task.life.answer
-        index = answer.index_after(last) if answer is not None else None
+        index = answer.next_piece_index(last) if answer is not None else None
         if index is None:
             await self._restart()
             return
--- a/lagoonlever/entry/generations/task.py
+++ b/lagoonlever/entry/generations/task.py
@@ -136,7 +136,7 @@
 
     def ends_known(self) -> None:
         """Leave engines that have not begun, where the request is known to end them."""
-        if self._life.finished is not None or self._life.released:
+        if self._life.finished is not None or self._life.released_tokens:
             return
         barred = self._engines.refusal(self.spec)
         if barred is not None:
@@ -146,7 +146,7 @@
             if self._is_misplaced(running):
                 running.left = True
                 self._carry_out(
-                    self._life.on_attempt_failed(attempt=number, cause=FailureCause.CALLED_BACK)
+                    self._life.on_attempt_failed(attempt=number, cause=FailureCause.WITHDRAWN)
                 )
 
     def hand_over(self) -> None:
@@ -222,7 +222,7 @@
                 cause = await self._attempt(running, placement)
             finally:
                 if running.scope.cancel_called:
-                    cause = FailureCause.CALLED_BACK if running.left else FailureCause.SILENT
+                    cause = FailureCause.WITHDRAWN if running.left else FailureCause.SILENT
                 self._engines.ended(self.spec, dispatch, placement, cause)
         if cause is not None:
             await self._look_at_end(running, cause)
@@ -245,7 +245,7 @@
                 self._life.on_attempt_failed(attempt=attempt, cause=FailureCause.NO_TARGET)
             )
         else:
-            self._carry_out(self._life.not_admitted(attempt=attempt, answer=answer))
+            self._carry_out(self._life.on_not_admitted(attempt=attempt, answer=answer))
 
     async def _attempt(self, running: _RunningAttempt, placement: Placement) -> FailureCause | None:
         dispatch = running.dispatch
@@ -270,7 +270,7 @@
         except ConnectFailed:
             return FailureCause.CONNECT_FAILED
         except EngineRefused:
-            return FailureCause.NOT_THERE if dispatch.reattach else FailureCause.REFUSED
+            return FailureCause.STREAM_NOT_FOUND if dispatch.reattach else FailureCause.REFUSED
         except PeerError:
             return FailureCause.BROKEN
         return FailureCause.BROKEN if self._life.finished is None else None
