--- a/lagoonlever/decisions/claims/claim_queue.py
+++ b/lagoonlever/decisions/claims/claim_queue.py
@@ -1,8 +1,9 @@
 """Group commit of claims: one transaction of the store carries all claims queued at a VM.
 
-A claim binds a caller's plain key to a home, permanently. The store creates it
-only if the key has none yet, so if two VMs claim one key at the same time,
-exactly one of them becomes its home. One transaction is in flight at a time:
+A claim binds a caller's plain key to a home. The store creates it only if the
+key has no claim yet, so if two VMs claim one key at the same time, exactly one
+of them becomes its home. A binding never changes; the claim hangs on a lease
+that outlives the key. One transaction is in flight at a time:
 the slower the store, the larger the groups and the fewer the calls.
 """
 
