--- a/lagoonlever/decisions/rollouts/versions.py
+++ b/lagoonlever/decisions/rollouts/versions.py
@@ -63,7 +63,7 @@
         """Whether no other version was there since the order: nothing is to be moved."""
         return self.order is not None and not self._beside
 
-    def note(self, listed: set[str]) -> None:
+    def update_known_versions(self, listed: set[str]) -> None:
         """Take the versions that are listed; those of the first sight were there before.
 
         One that comes later was started for an order that this VM may not know yet.
--- a/lagoonlever/tests/rollout_plan_tests.py
+++ b/lagoonlever/tests/rollout_plan_tests.py
@@ -232,7 +232,7 @@
 
 def test_the_versions_that_were_there_first_serve_until_one_is_completed() -> None:
     versions = ServiceVersions()
-    versions.note({"v1"})
+    versions.update_known_versions({"v1"})
     assert versions.settled({"v1", "v2"}) == {"v1"}
     versions.ordered(ORDER, {"v1"})
     assert versions.settled({"v1", "v2"}) == {"v1"}
@@ -246,7 +246,7 @@
 
 def test_a_version_that_was_rolled_back_gets_nothing_though_it_is_alone() -> None:
     versions = ServiceVersions()
-    versions.note({"v1"})
+    versions.update_known_versions({"v1"})
     versions.ordered(ORDER, {"v1"})
     assert versions.settled({"v2"}) == {"v2"}
     versions.decided(RolloutState.ROLLED_BACK)
