--- a/lagoonlever/decisions/rollouts/versions.py
+++ b/lagoonlever/decisions/rollouts/versions.py
@@ -73,7 +73,7 @@
             if self.order is not None and len(listed) > 1:
                 self._known.discard(self.order.version)
 
-    def saw(self, version: str) -> None:
+    def record_listed(self, version: str) -> None:
         """Note that a target of a version is listed."""
         if self.order is not None and version != self.order.version:
             self._beside.add(version)
