--- a/lagoonlever/decisions/rollouts/versions.py
+++ b/lagoonlever/decisions/rollouts/versions.py
@@ -78,7 +78,7 @@
         if self.order is not None and version != self.order.version:
             self._beside.add(version)
 
-    def ordered(self, order: RolloutOrder, listed: set[str]) -> None:
+    def apply_order(self, order: RolloutOrder, listed: set[str]) -> None:
         """Take an order; it is undecided until its status tells."""
         if self.order is not None and self.state is RolloutState.COMPLETED:
             self._known = {self.order.version}
