--- a/lagoonlever/decisions/rollouts/versions.py
+++ b/lagoonlever/decisions/rollouts/versions.py
@@ -87,7 +87,7 @@
         self._known.discard(order.version)
         self._beside = listed - {order.version}
 
-    def decided(self, state: RolloutState) -> None:
+    def apply_state(self, state: RolloutState) -> None:
         """Take the status of the order; a final one never changes."""
         if self.state.is_final:
             return
--- a/lagoonlever/tests/rollout_plan_tests.py
+++ b/lagoonlever/tests/rollout_plan_tests.py
@@ -238,9 +238,9 @@
     assert versions.settled({"v1", "v2"}) == {"v1"}
     versions.phase = RolloutPhase.MOVING
     assert versions.settled({"v1", "v2"}) == {"v2"}
-    versions.decided(RolloutState.COMPLETED)
+    versions.apply_state(RolloutState.COMPLETED)
     assert versions.settled({"v1", "v2"}) == {"v2"}
-    versions.decided(RolloutState.ROLLED_BACK)
+    versions.apply_state(RolloutState.ROLLED_BACK)
     assert versions.settled({"v1", "v2"}) == {"v2"}
 
 
@@ -249,5 +249,5 @@
     versions.update_known_versions({"v1"})
     versions.apply_order(ORDER, {"v1"})
     assert versions.settled({"v2"}) == {"v2"}
-    versions.decided(RolloutState.ROLLED_BACK)
+    versions.apply_state(RolloutState.ROLLED_BACK)
     assert versions.settled({"v2"}) == frozenset()
