--- a/lagoonlever/decisions/rollouts/versions.py
+++ b/lagoonlever/decisions/rollouts/versions.py
@@ -99,7 +99,7 @@
         """Tell whether a version was there first, and no order has touched the service."""
         return self.order is None and version in self._known
 
-    def settled(self, listed: set[str]) -> frozenset[str]:
+    def ordinary_versions(self, listed: set[str]) -> frozenset[str]:
         """Give the versions that ordinary new work goes to, of those with targets that take work.
 
         A service is not left without targets for want of a word: where only a version is
--- a/lagoonlever/tests/rollout_plan_tests.py
+++ b/lagoonlever/tests/rollout_plan_tests.py
@@ -233,21 +233,21 @@
 def test_the_versions_that_were_there_first_serve_until_one_is_completed() -> None:
     versions = ServiceVersions()
     versions.update_known_versions({"v1"})
-    assert versions.settled({"v1", "v2"}) == {"v1"}
+    assert versions.ordinary_versions({"v1", "v2"}) == {"v1"}
     versions.apply_order(ORDER, {"v1"})
-    assert versions.settled({"v1", "v2"}) == {"v1"}
+    assert versions.ordinary_versions({"v1", "v2"}) == {"v1"}
     versions.phase = RolloutPhase.MOVING
-    assert versions.settled({"v1", "v2"}) == {"v2"}
+    assert versions.ordinary_versions({"v1", "v2"}) == {"v2"}
     versions.apply_state(RolloutState.COMPLETED)
-    assert versions.settled({"v1", "v2"}) == {"v2"}
+    assert versions.ordinary_versions({"v1", "v2"}) == {"v2"}
     versions.apply_state(RolloutState.ROLLED_BACK)
-    assert versions.settled({"v1", "v2"}) == {"v2"}
+    assert versions.ordinary_versions({"v1", "v2"}) == {"v2"}
 
 
 def test_a_version_that_was_rolled_back_gets_nothing_though_it_is_alone() -> None:
     versions = ServiceVersions()
     versions.update_known_versions({"v1"})
     versions.apply_order(ORDER, {"v1"})
-    assert versions.settled({"v2"}) == {"v2"}
+    assert versions.ordinary_versions({"v2"}) == {"v2"}
     versions.apply_state(RolloutState.ROLLED_BACK)
-    assert versions.settled({"v2"}) == frozenset()
+    assert versions.ordinary_versions({"v2"}) == frozenset()
