--- a/lagoonlever/decisions/rollouts/versions.py
+++ b/lagoonlever/decisions/rollouts/versions.py
@@ -112,7 +112,7 @@
             return frozenset(listed)
         return frozenset(listed - {self._rolled_back})
 
-    def on_trial(self, listed: set[str]) -> frozenset[str]:
+    def trial_versions(self, listed: set[str]) -> frozenset[str]:
         """Give the version that chosen requests go to now, if any."""
         if self.order is None or self.state.is_final or self.phase is not RolloutPhase.TRIAL:
             return frozenset()
