--- a/lagoonlever/bench/rollout_model.py
+++ b/lagoonlever/bench/rollout_model.py
@@ -11,7 +11,7 @@
 
 from lagoonlever.decisions.rollouts.book import Lane, RolloutBook, VmCounts
 from lagoonlever.decisions.rollouts.evidence import AnswerCounts
-from lagoonlever.decisions.rollouts.plan import ExposureBounds, Plan, TrialProgress, plan_of
+from lagoonlever.decisions.rollouts.plan import ExposureBounds, Plan, TrialProgress, plan_rollout
 from lagoonlever.decisions.rollouts.versions import RolloutOrder, RolloutPhase, RolloutState
 
 TICK_S = 0.1
@@ -102,7 +102,7 @@
         while now < case.duration_s + AFTER_S:
             if now - told >= case.word_s and not self._plan.state.is_final:
                 told = now
-                self._plan = plan_of(order, self._progress(now), self._bounds)
+                self._plan = plan_rollout(order, self._progress(now), self._bounds)
                 self._decided_s = now if self._plan.state.is_final else 0.0
             for kind in self._arriving():
                 self._arrive(kind, now)
--- a/lagoonlever/decisions/rollouts/plan.py
+++ b/lagoonlever/decisions/rollouts/plan.py
@@ -92,7 +92,7 @@
     reason: str = ""
 
 
-def plan_of(order: RolloutOrder, progress: TrialProgress, bounds: ExposureBounds) -> Plan:
+def plan_rollout(order: RolloutOrder, progress: TrialProgress, bounds: ExposureBounds) -> Plan:
     """Decide what to do now; a final state is to be written, and then acted on."""
     left_s = order.duration_s - DECIDED_BEFORE_S - progress.elapsed_s
     if progress.judgement.is_bad or progress.moved.is_bad:
--- a/lagoonlever/gateway/rollout_lead.py
+++ b/lagoonlever/gateway/rollout_lead.py
@@ -17,7 +17,7 @@
     OtherVersions,
     Plan,
     TrialProgress,
-    plan_of,
+    plan_rollout,
     plan_untried,
     plan_unwitnessed,
 )
@@ -156,7 +156,7 @@
             elapsed_s = self._timers.now - rollout.began_at
             return plan_untried(rollout.order, elapsed_s, self._others(lead))
         progress = attrs.evolve(self._progress(lead), others=self._others(lead))
-        return plan_of(rollout.order, progress, self._bounds)
+        return plan_rollout(rollout.order, progress, self._bounds)
 
     def _others(self, lead: _Lead) -> OtherVersions:
         """Give what is known of the targets that would serve in place of the new ones."""
--- a/lagoonlever/tests/rollout_plan_tests.py
+++ b/lagoonlever/tests/rollout_plan_tests.py
@@ -19,7 +19,7 @@
     Seconds,
     judge,
 )
-from lagoonlever.decisions.rollouts.plan import ExposureBounds, TrialProgress, plan_of
+from lagoonlever.decisions.rollouts.plan import ExposureBounds, TrialProgress, plan_rollout
 from lagoonlever.decisions.rollouts.versions import (
     RolloutOrder,
     RolloutPhase,
@@ -107,13 +107,13 @@
 
 
 def test_a_bad_version_is_rolled_back_at_once() -> None:
-    plan = plan_of(ORDER, progress(2.0, judgement=BAD), BOUNDS)
+    plan = plan_rollout(ORDER, progress(2.0, judgement=BAD), BOUNDS)
     assert (plan.state, plan.phase) == (RolloutState.ROLLED_BACK, RolloutPhase.HELD)
 
 
 def test_all_work_moves_only_when_the_rest_fits_into_the_allowance() -> None:
-    early = plan_of(ORDER, progress(3.0, judgement=SOUND, exposed=15), BOUNDS)
-    late = plan_of(ORDER, progress(10.8, judgement=SOUND, exposed=15), BOUNDS)
+    early = plan_rollout(ORDER, progress(3.0, judgement=SOUND, exposed=15), BOUNDS)
+    late = plan_rollout(ORDER, progress(10.8, judgement=SOUND, exposed=15), BOUNDS)
     assert (early.phase, late.phase) == (RolloutPhase.TRIAL, RolloutPhase.MOVING)
 
 
@@ -135,14 +135,14 @@
     What it may get until the deadline is 122 requests here, of which 42 are to come.
     """
     seen = progress(11.3, judgement=SOUND, moved=moved, exposed=exposed, is_moving=True)
-    assert plan_of(ORDER, seen, BOUNDS).state is state
+    assert plan_rollout(ORDER, seen, BOUNDS).state is state
 
 
 def test_a_version_that_nothing_is_known_of_is_not_completed() -> None:
     for judgement in (NO_EVIDENCE, Judgement(together=-2.0, worst=-2.0)):
-        plan = plan_of(ORDER, progress(12.0, judgement=judgement), BOUNDS)
+        plan = plan_rollout(ORDER, progress(12.0, judgement=judgement), BOUNDS)
         assert plan.state is RolloutState.ROLLED_BACK
-    unseen_under_load = plan_of(ORDER, progress(12.0, judgement=SOUND, is_moving=True), BOUNDS)
+    unseen_under_load = plan_rollout(ORDER, progress(12.0, judgement=SOUND, is_moving=True), BOUNDS)
     assert unseen_under_load.state is RolloutState.ROLLED_BACK
 
 
@@ -159,7 +159,7 @@
     seen = TrialProgress(
         elapsed_s=elapsed_s, arrivals=arrivals, exposed=exposed, judgement=SOUND, moved=SOUND
     )
-    plan = plan_of(order, seen, BOUNDS)
+    plan = plan_rollout(order, seen, BOUNDS)
     rate = sum(arrivals.values()) / max(1.0, elapsed_s)
     allowed = BOUNDS.share * rate * duration_s + BOUNDS.slack
     if plan.phase is RolloutPhase.MOVING and not plan.state.is_final:
