--- a/lagoonlever/decisions/rollouts/plan.py
+++ b/lagoonlever/decisions/rollouts/plan.py
@@ -110,7 +110,7 @@
     return _rolled_back("too few answers to be sure of it")
 
 
-def plan_untried(order: RolloutOrder, elapsed_s: float, others: OtherVersions) -> Plan:
+def plan_sole_version(order: RolloutOrder, elapsed_s: float, others: OtherVersions) -> Plan:
     """Decide of a version beside which none was listed since the order: nothing is to be moved."""
     if elapsed_s < order.duration_s - DECIDED_BEFORE_S or not others.are_gone:
         return Plan(phase=RolloutPhase.HELD)
--- a/lagoonlever/gateway/rollout_lead.py
+++ b/lagoonlever/gateway/rollout_lead.py
@@ -18,7 +18,7 @@
     Plan,
     TrialProgress,
     plan_rollout,
-    plan_untried,
+    plan_sole_version,
     plan_unwitnessed,
 )
 from lagoonlever.decisions.rollouts.versions import RolloutPhase, RolloutState
@@ -154,7 +154,7 @@
             return plan_unwitnessed(self._others(lead))
         if self._beliefs.targets.versions_of(rollout.order.service).is_alone:
             elapsed_s = self._timers.now - rollout.began_at
-            return plan_untried(rollout.order, elapsed_s, self._others(lead))
+            return plan_sole_version(rollout.order, elapsed_s, self._others(lead))
         progress = attrs.evolve(self._progress(lead), others=self._others(lead))
         return plan_rollout(rollout.order, progress, self._bounds)
 
