--- a/lagoonlever/decisions/rollouts/plan.py
+++ b/lagoonlever/decisions/rollouts/plan.py
@@ -117,7 +117,7 @@
     return _completed("no other version was there since the order")
 
 
-def plan_unwitnessed(others: OtherVersions) -> Plan:
+def plan_without_counts(others: OtherVersions) -> Plan:
     """Decide of an order that no VM saw which is left, nor what its version has got since."""
     if others.are_there:
         return _rolled_back("no VM is left that saw the order, nor what the version has got since")
--- a/lagoonlever/gateway/rollout_lead.py
+++ b/lagoonlever/gateway/rollout_lead.py
@@ -19,7 +19,7 @@
     TrialProgress,
     plan_rollout,
     plan_sole_version,
-    plan_unwitnessed,
+    plan_without_counts,
 )
 from lagoonlever.decisions.rollouts.versions import RolloutPhase, RolloutState
 from lagoonlever.exceptions import PlatformError
@@ -151,7 +151,7 @@
     def _plan(self, lead: _Lead) -> Plan:
         rollout = lead.rollout
         if rollout.began_at is None:
-            return plan_unwitnessed(self._others(lead))
+            return plan_without_counts(self._others(lead))
         if self._beliefs.targets.versions_of(rollout.order.service).is_alone:
             elapsed_s = self._timers.now - rollout.began_at
             return plan_sole_version(rollout.order, elapsed_s, self._others(lead))
--- a/lagoonlever/tests/rollout_losses_tests.py
+++ b/lagoonlever/tests/rollout_losses_tests.py
@@ -258,5 +258,5 @@
 def test_without_a_witness_entries_count_once_they_have_settled_or_answered(
     others: OtherVersions, state: RolloutState
 ) -> None:
-    plan = rollout_plan.plan_unwitnessed(others)
+    plan = rollout_plan.plan_without_counts(others)
     assert (plan.state, plan.phase) == (state, RolloutPhase.HELD)
