--- a/lagoonlever/decisions/rollouts/plan.py
+++ b/lagoonlever/decisions/rollouts/plan.py
@@ -59,7 +59,7 @@
         return self.is_settled and not self.listed
 
     @property
-    def are_there(self) -> bool:
+    def are_present(self) -> bool:
         """Whether one is known to be left."""
         return self.listed and (self.is_settled or self.answered)
 
