--- a/lagoonlever/decisions/rollouts/book.py
+++ b/lagoonlever/decisions/rollouts/book.py
@@ -54,7 +54,7 @@
             arrivals=arrivals,
             exposed=sum(counts.exposed for counts in self._vms.values()),
             judgement=self._judge(RolloutPhase.TRIAL, RolloutPhase.MOVING),
-            moved=self._judge(RolloutPhase.MOVING),
+            judgement_since_move=self._judge(RolloutPhase.MOVING),
             is_moving=is_moving,
         )
 
--- a/lagoonlever/decisions/rollouts/plan.py
+++ b/lagoonlever/decisions/rollouts/plan.py
@@ -74,7 +74,7 @@
     """Requests that the new version has got."""
     judgement: Judgement = NO_EVIDENCE
     """By all answers."""
-    moved: Judgement = NO_EVIDENCE
+    judgement_since_move: Judgement = NO_EVIDENCE
     """By the answers to requests that were sent when all new work went there."""
     is_moving: bool = False
     """All new work goes there already."""
--- a/lagoonlever/tests/rollout_plan_tests.py
+++ b/lagoonlever/tests/rollout_plan_tests.py
@@ -157,7 +157,11 @@
 ) -> None:
     order = RolloutOrder(service="apps", version="v2", duration_s=duration_s)
     seen = TrialProgress(
-        elapsed_s=elapsed_s, arrivals=arrivals, exposed=exposed, judgement=SOUND, moved=SOUND
+        elapsed_s=elapsed_s,
+        arrivals=arrivals,
+        exposed=exposed,
+        judgement=SOUND,
+        judgement_since_move=SOUND,
     )
     plan = plan_rollout(order, seen, BOUNDS)
     rate = sum(arrivals.values()) / max(1.0, elapsed_s)
