--- a/lagoonlever/decisions/rollouts/evidence.py
+++ b/lagoonlever/decisions/rollouts/evidence.py
@@ -123,7 +123,7 @@
         return self.together <= sound_from and self.worst < 0.0
 
     @property
-    def leans_sound(self) -> bool:
+    def is_likely_sound(self) -> bool:
         """Whether it is likely to be sound."""
         return self.together <= -LEANS and self.worst < LEANS / 2
 
--- a/lagoonlever/tests/rollout_plan_tests.py
+++ b/lagoonlever/tests/rollout_plan_tests.py
@@ -57,7 +57,7 @@
     old = Seconds(counts={0: counts(60), 1: counts(20, 12), 2: counts(60)})
     new = Seconds(counts={0: counts(10), 1: counts(4, 3), 2: counts(30)})
     assert not judge([(new, old)]).is_bad
-    assert judge([(new, old)]).leans_sound
+    assert judge([(new, old)]).is_likely_sound
 
 
 def test_answers_that_take_four_times_as_long_tell_a_bad_version() -> None:
