--- a/lagoonlever/decisions/rollouts/evidence.py
+++ b/lagoonlever/decisions/rollouts/evidence.py
@@ -107,28 +107,28 @@
     """What the answers say: logarithms of how much likelier they are of a bad version."""
 
     total_log_ratio: float
-    worst: float
+    worst_log_ratio: float
     """Of the kind of request that speaks most against it."""
 
     @property
     def is_bad(self) -> bool:
         """Whether the test is sure that the version is bad."""
         bad_from = math.log((1 - CALLED_SOUND_WRONGLY) / CALLED_BAD_WRONGLY)
-        return max(self.total_log_ratio, self.worst) >= bad_from
+        return max(self.total_log_ratio, self.worst_log_ratio) >= bad_from
 
     @property
     def is_sound(self) -> bool:
         """Whether the test is sure that it is sound, and no kind of request leans to bad."""
         sound_from = math.log(CALLED_SOUND_WRONGLY / (1 - CALLED_BAD_WRONGLY))
-        return self.total_log_ratio <= sound_from and self.worst < 0.0
+        return self.total_log_ratio <= sound_from and self.worst_log_ratio < 0.0
 
     @property
     def is_likely_sound(self) -> bool:
         """Whether it is likely to be sound."""
-        return self.total_log_ratio <= -LEANS and self.worst < LEANS / 2
+        return self.total_log_ratio <= -LEANS and self.worst_log_ratio < LEANS / 2
 
 
-NO_EVIDENCE = Judgement(total_log_ratio=0.0, worst=0.0)
+NO_EVIDENCE = Judgement(total_log_ratio=0.0, worst_log_ratio=0.0)
 
 
 def ratio_of(new: Seconds, old: Seconds) -> float:
@@ -153,4 +153,4 @@
     ratios = [ratio_of(new, old) for new, old in kinds if new.counts]
     if not ratios:
         return NO_EVIDENCE
-    return Judgement(total_log_ratio=sum(ratios), worst=max(ratios))
+    return Judgement(total_log_ratio=sum(ratios), worst_log_ratio=max(ratios))
--- a/lagoonlever/tests/rollout_plan_tests.py
+++ b/lagoonlever/tests/rollout_plan_tests.py
@@ -31,8 +31,8 @@
 
 ORDER = RolloutOrder(service="apps", version="v2", duration_s=12.0)
 BOUNDS = ExposureBounds()
-SOUND = Judgement(total_log_ratio=-9.0, worst=-3.0)
-BAD = Judgement(total_log_ratio=9.0, worst=9.0)
+SOUND = Judgement(total_log_ratio=-9.0, worst_log_ratio=-3.0)
+BAD = Judgement(total_log_ratio=9.0, worst_log_ratio=9.0)
 
 
 def progress(elapsed_s: float, **more: object) -> TrialProgress:
@@ -123,7 +123,7 @@
         (70, SOUND, RolloutState.RUNNING),
         (76, SOUND, RolloutState.COMPLETED),
         (76, NO_EVIDENCE, RolloutState.RUNNING),
-        (76, Judgement(total_log_ratio=-3.0, worst=-1.0), RolloutState.RUNNING),
+        (76, Judgement(total_log_ratio=-3.0, worst_log_ratio=-1.0), RolloutState.RUNNING),
         (84, SOUND, RolloutState.RUNNING),
     ],
 )
@@ -139,7 +139,7 @@
 
 
 def test_a_version_that_nothing_is_known_of_is_not_completed() -> None:
-    for judgement in (NO_EVIDENCE, Judgement(total_log_ratio=-2.0, worst=-2.0)):
+    for judgement in (NO_EVIDENCE, Judgement(total_log_ratio=-2.0, worst_log_ratio=-2.0)):
         plan = plan_rollout(ORDER, progress(12.0, judgement=judgement), BOUNDS)
         assert plan.state is RolloutState.ROLLED_BACK
     unseen_under_load = plan_rollout(ORDER, progress(12.0, judgement=SOUND, is_moving=True), BOUNDS)
