--- a/lagoonlever/decisions/rollouts/evidence.py
+++ b/lagoonlever/decisions/rollouts/evidence.py
@@ -80,7 +80,7 @@
                 return number
         return None
 
-    def bad(self, median: int | None) -> int:
+    def count_bad(self, median: int | None) -> int:
         """Give how many failed, or took far longer than a median."""
         if median is None:
             return self.failed
