--- a/lagoonlever/decisions/rollouts/evidence.py
+++ b/lagoonlever/decisions/rollouts/evidence.py
@@ -131,7 +131,7 @@
 NO_EVIDENCE = Judgement(total_log_ratio=0.0, worst_log_ratio=0.0)
 
 
-def ratio_of(new: Seconds, old: Seconds) -> float:
+def log_likelihood_ratio(new: Seconds, old: Seconds) -> float:
     """Give the logarithm of how much likelier one kind's answers are of a bad version."""
     all_old = old.together
     median = all_old.median_class()
@@ -150,7 +150,7 @@
 
 def judge(kinds: Iterable[tuple[Seconds, Seconds]]) -> Judgement:
     """Judge a version by pairs of its answers and the old one's, one of each kind of request."""
-    ratios = [ratio_of(new, old) for new, old in kinds if new.counts]
+    ratios = [log_likelihood_ratio(new, old) for new, old in kinds if new.counts]
     if not ratios:
         return NO_EVIDENCE
     return Judgement(total_log_ratio=sum(ratios), worst_log_ratio=max(ratios))
