--- a/lagoonlever/decisions/rollouts/evidence.py
+++ b/lagoonlever/decisions/rollouts/evidence.py
@@ -94,7 +94,7 @@
     counts: Mapping[int, AnswerCounts] = attrs.field(factory=dict)
 
     @property
-    def together(self) -> AnswerCounts:
+    def total(self) -> AnswerCounts:
         """The counts of all seconds."""
         total = AnswerCounts()
         for counts in self.counts.values():
