--- a/lagoonlever/decisions/rollouts/book.py
+++ b/lagoonlever/decisions/rollouts/book.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from lagoonlever.decisions.rollouts.evidence import AnswerCounts, Judgement, Seconds, judge
+from lagoonlever.decisions.rollouts.evidence import AnswerCounts, Judgement, AnswersBySecond, judge
 from lagoonlever.decisions.rollouts.plan import TrialProgress
 from lagoonlever.decisions.rollouts.versions import RolloutPhase
 
@@ -77,12 +77,12 @@
             (self._together(kind, *phases), self._together(kind, None)) for kind in sorted(kinds)
         )
 
-    def _together(self, kind: str, *phases: RolloutPhase | None) -> Seconds:
+    def _together(self, kind: str, *phases: RolloutPhase | None) -> AnswersBySecond:
         together: dict[int, AnswerCounts] = {}
         for phase in phases:
             for second, counts in self._seconds.get((kind, phase), {}).items():
                 together[second] = together.get(second, AnswerCounts()).plus(counts)
-        return Seconds(counts=together)
+        return AnswersBySecond(counts=together)
 
 
 def _minus(total: AnswerCounts, known: AnswerCounts) -> AnswerCounts | None:
--- a/lagoonlever/decisions/rollouts/evidence.py
+++ b/lagoonlever/decisions/rollouts/evidence.py
@@ -88,7 +88,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Seconds:
+class AnswersBySecond:
     """Answers of one kind of request by one version, by the second in which they were known."""
 
     counts: Mapping[int, AnswerCounts] = attrs.field(factory=dict)
@@ -131,7 +131,7 @@
 NO_EVIDENCE = Judgement(total_log_ratio=0.0, worst_log_ratio=0.0)
 
 
-def log_likelihood_ratio(new: Seconds, old: Seconds) -> float:
+def log_likelihood_ratio(new: AnswersBySecond, old: AnswersBySecond) -> float:
     """Give the logarithm of how much likelier one kind's answers are of a bad version."""
     all_old = old.together
     median = all_old.median_class()
@@ -148,7 +148,7 @@
     return ratio
 
 
-def judge(kinds: Iterable[tuple[Seconds, Seconds]]) -> Judgement:
+def judge(kinds: Iterable[tuple[AnswersBySecond, AnswersBySecond]]) -> Judgement:
     """Judge a version by pairs of its answers and the old one's, one of each kind of request."""
     ratios = [log_likelihood_ratio(new, old) for new, old in kinds if new.counts]
     if not ratios:
--- a/lagoonlever/tests/rollout_plan_tests.py
+++ b/lagoonlever/tests/rollout_plan_tests.py
@@ -16,7 +16,7 @@
     NO_EVIDENCE,
     AnswerCounts,
     Judgement,
-    Seconds,
+    AnswersBySecond,
     judge,
 )
 from lagoonlever.decisions.rollouts.plan import ExposureBounds, TrialProgress, plan_rollout
@@ -48,28 +48,28 @@
 
 
 def test_failures_beside_none_tell_a_bad_version_within_a_dozen_answers() -> None:
-    old = Seconds(counts={0: counts(60, 1)})
-    assert judge([(Seconds(counts={0: counts(8, 4)}), old)]).is_bad
+    old = AnswersBySecond(counts={0: counts(60, 1)})
+    assert judge([(AnswersBySecond(counts={0: counts(8, 4)}), old)]).is_bad
 
 
 def test_failures_that_the_old_version_has_too_say_nothing() -> None:
     """A data centre's engines end in one second: both versions lose a third of their answers."""
-    old = Seconds(counts={0: counts(60), 1: counts(20, 12), 2: counts(60)})
-    new = Seconds(counts={0: counts(10), 1: counts(4, 3), 2: counts(30)})
+    old = AnswersBySecond(counts={0: counts(60), 1: counts(20, 12), 2: counts(60)})
+    new = AnswersBySecond(counts={0: counts(10), 1: counts(4, 3), 2: counts(30)})
     assert not judge([(new, old)]).is_bad
     assert judge([(new, old)]).is_likely_sound
 
 
 def test_answers_that_take_four_times_as_long_tell_a_bad_version() -> None:
-    old = Seconds(counts={0: counts(60)})
+    old = AnswersBySecond(counts={0: counts(60)})
     slow = counts(8).plus(counts(6, seconds=0.2))
-    assert judge([(Seconds(counts={0: slow}), old)]).is_bad
+    assert judge([(AnswersBySecond(counts={0: slow}), old)]).is_bad
 
 
 def test_a_version_that_fails_on_one_route_only_is_told_from_a_sound_one() -> None:
-    old = Seconds(counts={0: counts(60)})
-    often = (Seconds(counts={0: counts(60)}), old)
-    rare = (Seconds(counts={0: counts(2, 3)}), old)
+    old = AnswersBySecond(counts={0: counts(60)})
+    often = (AnswersBySecond(counts={0: counts(60)}), old)
+    rare = (AnswersBySecond(counts={0: counts(2, 3)}), old)
     assert not judge([often, rare]).is_sound
 
 
