--- a/lagoonlever/bench/rollout_model.py
+++ b/lagoonlever/bench/rollout_model.py
@@ -130,7 +130,7 @@
         told = VmCounts(
             lanes=dict(self._lanes), arrivals=dict(self._arrivals), exposed=self._exposed
         )
-        self._book.take("all", told, elapsed_s=now)
+        self._book.record_vm_counts("all", told, elapsed_s=now)
         return self._book.progress(elapsed_s=now, is_moving=self._plan.phase is RolloutPhase.MOVING)
 
     def _arriving(self) -> Iterator[str]:
--- a/lagoonlever/decisions/rollouts/book.py
+++ b/lagoonlever/decisions/rollouts/book.py
@@ -28,7 +28,7 @@
     _vms: dict[str, VmCounts] = attrs.field(factory=dict)
     _seconds: dict[Lane, dict[int, AnswerCounts]] = attrs.field(factory=dict)
 
-    def take(self, life: str, counts: VmCounts, *, elapsed_s: float) -> None:
+    def record_vm_counts(self, life: str, counts: VmCounts, *, elapsed_s: float) -> None:
         """Take a VM's counts; one that is older than what is known changes nothing."""
         known = self._vms.get(life, VmCounts())
         if sum(counts.arrivals.values()) < sum(known.arrivals.values()):
--- a/lagoonlever/gateway/rollout_lead.py
+++ b/lagoonlever/gateway/rollout_lead.py
@@ -102,7 +102,7 @@
         elapsed_s = self._timers.now - (rollout.began_at or self._timers.now)
         lanes = {(row.kind, row.phase): row.counts for row in counts.rows}
         told = VmCounts(lanes=lanes, arrivals=counts.arrivals, exposed=counts.exposed)
-        self._lead_of(rollout).book.take(life, told, elapsed_s=elapsed_s)
+        self._lead_of(rollout).book.record_vm_counts(life, told, elapsed_s=elapsed_s)
 
     def _lead_of(self, rollout: Rollout) -> _Lead:
         service = rollout.order.service
--- a/lagoonlever/tests/rollout_plan_tests.py
+++ b/lagoonlever/tests/rollout_plan_tests.py
@@ -80,7 +80,7 @@
     ]
     book = RolloutBook()
     for number in (0, 2, 2, 1, 3, 0):
-        book.take("vm-0", told[number], elapsed_s=1.0)
+        book.record_vm_counts("vm-0", told[number], elapsed_s=1.0)
     seen = book.progress(elapsed_s=2.0, is_moving=False)
     assert (seen.arrivals, seen.exposed) == ({"bid": 40}, 4)
     assert sum(c.total for c in book._seconds[lane].values()) == 4
@@ -92,7 +92,7 @@
     for good in (0, 1):
         lanes = {("bid", None): counts(good, failed=3), ("bid", RolloutPhase.TRIAL): counts(4)}
         told = VmCounts(lanes=lanes, arrivals={"bid": 7 + good})
-        book.take("vm-0", told, elapsed_s=1.0)
+        book.record_vm_counts("vm-0", told, elapsed_s=1.0)
         assert book.other_answers == good
 
 
