--- a/lagoonlever/decisions/rollouts/book.py
+++ b/lagoonlever/decisions/rollouts/book.py
@@ -59,7 +59,7 @@
         )
 
     @property
-    def other_answers(self) -> int:
+    def other_version_answers(self) -> int:
         """How many good answers of targets of other versions have become known.
 
         A failure may be that of a connection, and tells of no target that it is there.
--- a/lagoonlever/tests/rollout_plan_tests.py
+++ b/lagoonlever/tests/rollout_plan_tests.py
@@ -93,7 +93,7 @@
         lanes = {("bid", None): counts(good, failed=3), ("bid", RolloutPhase.TRIAL): counts(4)}
         told = VmCounts(lanes=lanes, arrivals={"bid": 7 + good})
         book.record_vm_counts("vm-0", told, elapsed_s=1.0)
-        assert book.other_answers == good
+        assert book.other_version_answers == good
 
 
 def test_a_vm_that_begins_to_lead_is_told_what_was_counted_before() -> None:
