--- a/lagoonlever/bench/rollout_model.py
+++ b/lagoonlever/bench/rollout_model.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from lagoonlever.decisions.rollouts.book import Lane, RolloutBook, VmCounts
+from lagoonlever.decisions.rollouts.book import Lane, RolloutTotals, VmCounts
 from lagoonlever.decisions.rollouts.evidence import AnswerCounts
 from lagoonlever.decisions.rollouts.plan import ExposureBounds, Plan, TrialProgress, plan_rollout
 from lagoonlever.decisions.rollouts.versions import RolloutOrder, RolloutPhase, RolloutState
@@ -87,7 +87,7 @@
     _exposed: int = 0
     _exposed_in_time: int = 0
     _lanes: dict[Lane, AnswerCounts] = attrs.field(factory=dict)
-    _book: RolloutBook = attrs.field(factory=RolloutBook)
+    _book: RolloutTotals = attrs.field(factory=RolloutTotals)
     _underway: deque[_Answer] = attrs.field(factory=deque)
     _bad_at: list[float] = attrs.field(factory=list)
     _last_sent_new: float = 0.0
--- a/lagoonlever/decisions/rollouts/book.py
+++ b/lagoonlever/decisions/rollouts/book.py
@@ -22,7 +22,7 @@
 
 
 @attrs.define(kw_only=True)
-class RolloutBook:
+class RolloutTotals:
     """Counts are since the order; a VM that has restarted is another life, and counts anew."""
 
     _vms: dict[str, VmCounts] = attrs.field(factory=dict)
--- a/lagoonlever/gateway/rollout_lead.py
+++ b/lagoonlever/gateway/rollout_lead.py
@@ -11,7 +11,7 @@
 import trio
 
 from lagoonlever.decisions.fleet.roles import Roles
-from lagoonlever.decisions.rollouts.book import RolloutBook, VmCounts
+from lagoonlever.decisions.rollouts.book import RolloutTotals, VmCounts
 from lagoonlever.decisions.rollouts.plan import (
     ExposureBounds,
     OtherVersions,
@@ -57,7 +57,7 @@
     rollout: Rollout
     record: StoreRecord
     since: float
-    book: RolloutBook = attrs.field(factory=RolloutBook)
+    book: RolloutTotals = attrs.field(factory=RolloutTotals)
     verdict: Plan | None = None
     """What was to be written. It holds: operators may have seen it, though its answer was lost."""
     written: RolloutState | None = None
--- a/lagoonlever/tests/rollout_plan_tests.py
+++ b/lagoonlever/tests/rollout_plan_tests.py
@@ -11,7 +11,7 @@
 from lagoonlever.bench.rollout_model import STOPS_AFTER_S, Conduct, RolloutCase, RolloutModel
 from lagoonlever.decisions.rollouts import book as rollout_book
 from lagoonlever.decisions.rollouts import plan as rollout_plan
-from lagoonlever.decisions.rollouts.book import RolloutBook, VmCounts
+from lagoonlever.decisions.rollouts.book import RolloutTotals, VmCounts
 from lagoonlever.decisions.rollouts.evidence import (
     NO_EVIDENCE,
     AnswerCounts,
@@ -78,7 +78,7 @@
     told = [
         VmCounts(lanes={lane: counts(n)}, arrivals={"bid": 10 * n}, exposed=n) for n in range(1, 5)
     ]
-    book = RolloutBook()
+    book = RolloutTotals()
     for number in (0, 2, 2, 1, 3, 0):
         book.record_vm_counts("vm-0", told[number], elapsed_s=1.0)
     seen = book.progress(elapsed_s=2.0, is_moving=False)
@@ -88,7 +88,7 @@
 
 def test_only_good_answers_tell_that_targets_of_other_versions_are_there() -> None:
     """Guards against resets of dead targets' connections that are taken for a sign of life."""
-    book = RolloutBook()
+    book = RolloutTotals()
     for good in (0, 1):
         lanes = {("bid", None): counts(good, failed=3), ("bid", RolloutPhase.TRIAL): counts(4)}
         told = VmCounts(lanes=lanes, arrivals={"bid": 7 + good})
