--- a/lagoonlever/bench/rollout_model.py
+++ b/lagoonlever/bench/rollout_model.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from lagoonlever.decisions.rollouts.book import Lane, RolloutTotals, VmCounts
+from lagoonlever.decisions.rollouts.totals import Lane, RolloutTotals, VmCounts
 from lagoonlever.decisions.rollouts.evidence import AnswerCounts
 from lagoonlever.decisions.rollouts.plan import ExposureBounds, Plan, TrialProgress, plan_rollout
 from lagoonlever.decisions.rollouts.versions import RolloutOrder, RolloutPhase, RolloutState
--- a/lagoonlever/gateway/call_exchange.py
+++ b/lagoonlever/gateway/call_exchange.py
@@ -7,7 +7,7 @@
 import attrs
 
 from lagoonlever.decisions.admission.capacity import RejectedWithRetryAfter
-from lagoonlever.decisions.rollouts.book import Lane
+from lagoonlever.decisions.rollouts.totals import Lane
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS, gives
 from lagoonlever.decisions.targets.limit_permits import Denied, required_permits
 from lagoonlever.decisions.targets.listed_target import ListedTarget
--- a/lagoonlever/gateway/rollout_lead.py
+++ b/lagoonlever/gateway/rollout_lead.py
@@ -11,7 +11,7 @@
 import trio
 
 from lagoonlever.decisions.fleet.roles import Roles
-from lagoonlever.decisions.rollouts.book import RolloutTotals, VmCounts
+from lagoonlever.decisions.rollouts.totals import RolloutTotals, VmCounts
 from lagoonlever.decisions.rollouts.plan import (
     ExposureBounds,
     OtherVersions,
--- a/lagoonlever/gateway/rollouts.py
+++ b/lagoonlever/gateway/rollouts.py
@@ -12,7 +12,7 @@
 import attrs
 import logbook
 
-from lagoonlever.decisions.rollouts.book import Lane
+from lagoonlever.decisions.rollouts.totals import Lane
 from lagoonlever.decisions.rollouts.versions import RolloutOrder, RolloutPhase, RolloutState
 from lagoonlever.decisions.targets.listed_target import ListedTarget
 from lagoonlever.gateway import events
--- a/lagoonlever/gateway/stream_counts.py
+++ b/lagoonlever/gateway/stream_counts.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from lagoonlever.decisions.rollouts.book import Lane
+from lagoonlever.decisions.rollouts.totals import Lane
 from lagoonlever.decisions.targets.listed_target import ListedTarget
 from lagoonlever.gateway.rollouts import Rollouts
 
