--- a/lagoonlever/bench/rollout_model.py
+++ b/lagoonlever/bench/rollout_model.py
@@ -9,9 +9,9 @@
 
 import attrs
 
-from lagoonlever.decisions.rollouts.totals import Lane, RolloutTotals, VmCounts
 from lagoonlever.decisions.rollouts.evidence import AnswerCounts
 from lagoonlever.decisions.rollouts.plan import ExposureBounds, Plan, TrialProgress, plan_rollout
+from lagoonlever.decisions.rollouts.totals import Lane, RolloutTotals, VmCounts
 from lagoonlever.decisions.rollouts.versions import RolloutOrder, RolloutPhase, RolloutState
 
 TICK_S = 0.1
--- a/lagoonlever/decisions/rollouts/totals.py
+++ b/lagoonlever/decisions/rollouts/totals.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from lagoonlever.decisions.rollouts.evidence import AnswerCounts, Judgement, AnswersBySecond, judge
+from lagoonlever.decisions.rollouts.evidence import AnswerCounts, AnswersBySecond, Judgement, judge
 from lagoonlever.decisions.rollouts.plan import TrialProgress
 from lagoonlever.decisions.rollouts.versions import RolloutPhase
 
--- a/lagoonlever/gateway/rollout_lead.py
+++ b/lagoonlever/gateway/rollout_lead.py
@@ -11,7 +11,6 @@
 import trio
 
 from lagoonlever.decisions.fleet.roles import Roles
-from lagoonlever.decisions.rollouts.totals import RolloutTotals, VmCounts
 from lagoonlever.decisions.rollouts.plan import (
     ExposureBounds,
     OtherVersions,
@@ -21,6 +20,7 @@
     plan_sole_version,
     plan_without_counts,
 )
+from lagoonlever.decisions.rollouts.totals import RolloutTotals, VmCounts
 from lagoonlever.decisions.rollouts.versions import RolloutPhase, RolloutState
 from lagoonlever.exceptions import PlatformError
 from lagoonlever.gateway import events
--- a/lagoonlever/gateway/rollout_tally.py
+++ b/lagoonlever/gateway/rollout_tally.py
@@ -4,8 +4,8 @@
 
 import attrs
 
-from lagoonlever.decisions.rollouts.totals import Lane
 from lagoonlever.decisions.rollouts.evidence import AnswerCounts
+from lagoonlever.decisions.rollouts.totals import Lane
 from lagoonlever.decisions.rollouts.versions import RolloutOrder
 from lagoonlever.peers.messages_rollouts import AnswerRow, RolloutCounts
 from lagoonlever.revisions import Revision
--- a/lagoonlever/tests/rollout_plan_tests.py
+++ b/lagoonlever/tests/rollout_plan_tests.py
@@ -9,17 +9,17 @@
 from hypothesis import strategies as st
 
 from lagoonlever.bench.rollout_model import STOPS_AFTER_S, Conduct, RolloutCase, RolloutModel
-from lagoonlever.decisions.rollouts import totals as rollout_book
 from lagoonlever.decisions.rollouts import plan as rollout_plan
-from lagoonlever.decisions.rollouts.totals import RolloutTotals, VmCounts
+from lagoonlever.decisions.rollouts import totals as rollout_book
 from lagoonlever.decisions.rollouts.evidence import (
     NO_EVIDENCE,
     AnswerCounts,
-    Judgement,
     AnswersBySecond,
+    Judgement,
     judge,
 )
 from lagoonlever.decisions.rollouts.plan import ExposureBounds, TrialProgress, plan_rollout
+from lagoonlever.decisions.rollouts.totals import RolloutTotals, VmCounts
 from lagoonlever.decisions.rollouts.versions import (
     RolloutOrder,
     RolloutPhase,
