--- a/lagoonlever/decisions/rollouts/evidence.py
+++ b/lagoonlever/decisions/rollouts/evidence.py
@@ -133,16 +133,16 @@
 
 def log_likelihood_ratio(new: AnswersBySecond, old: AnswersBySecond) -> float:
     """Give the logarithm of how much likelier one kind's answers are of a bad version."""
-    all_old = old.together
+    all_old = old.total
     median = all_old.median_class()
     usual = (all_old.bad(median) + 0.5) / (all_old.total + 10.0)
     ratio = 0.0
     for second, answers in new.counts.items():
         beside = old.counts.get(second, AnswerCounts())
-        bad_beside = beside.bad(median) + WEIGHT_OF_ALL * usual
+        bad_beside = beside.count_bad(median) + WEIGHT_OF_ALL * usual
         sound = max(LEAST_BAD, bad_beside / (beside.total + WEIGHT_OF_ALL))
         worse = min(MOST_BAD, sound + WORSE_BY)
-        bad = answers.bad(median)
+        bad = answers.count_bad(median)
         ratio += bad * math.log(worse / sound)
         ratio += (answers.total - bad) * math.log((1 - worse) / (1 - sound))
     return ratio
--- a/lagoonlever/decisions/rollouts/plan.py
+++ b/lagoonlever/decisions/rollouts/plan.py
@@ -95,7 +95,7 @@
 def plan_rollout(order: RolloutOrder, progress: TrialProgress, bounds: ExposureBounds) -> Plan:
     """Decide what to do now; a final state is to be written, and then acted on."""
     left_s = order.duration_s - DECIDED_BEFORE_S - progress.elapsed_s
-    if progress.judgement.is_bad or progress.moved.is_bad:
+    if progress.judgement.is_bad or progress.judgement_since_move.is_bad:
         return _rolled_back("its answers are worse than the old version's")
     if not progress.others.listed:
         return _plan_alone(progress.others, left_s)
@@ -119,7 +119,7 @@
 
 def plan_without_counts(others: OtherVersions) -> Plan:
     """Decide of an order that no VM saw which is left, nor what its version has got since."""
-    if others.are_there:
+    if others.are_present:
         return _rolled_back("no VM is left that saw the order, nor what the version has got since")
     if others.are_gone:
         return _completed("no target of another version is left")
@@ -156,7 +156,7 @@
     order: RolloutOrder, progress: TrialProgress, bounds: ExposureBounds, left_s: float
 ) -> bool:
     """Tell whether all new work may move there, as far as answers and the allowance go."""
-    if not progress.judgement.leans_sound:
+    if not progress.judgement.is_likely_sound:
         return False
     part = ALLOWANCE_KEPT if progress.is_moving else ALLOWANCE_USED
     return _fits(order, progress, bounds, left_s, part=part)
@@ -171,11 +171,17 @@
     came than were expected. It may turn bad yet, so its answers since the move must be sure to be
     sound, and what is to come must fit into the allowance.
     """
-    if not (progress.is_moving and progress.judgement.is_sound and progress.moved.leans_sound):
+    if not (
+        progress.is_moving
+        and progress.judgement.is_sound
+        and progress.judgement_since_move.leans_sound
+    ):
         return False
     if left_s <= 0:
         return True
-    return progress.moved.is_sound and _fits(order, progress, bounds, left_s, part=1.0)
+    return progress.judgement_since_move.is_sound and _fits(
+        order, progress, bounds, left_s, part=1.0
+    )
 
 
 def _fits(
--- a/lagoonlever/decisions/targets/registry.py
+++ b/lagoonlever/decisions/targets/registry.py
@@ -152,7 +152,7 @@
     def apply_order(self, order: RolloutOrder) -> None:
         """Apply an operator's order to roll out a version of a service."""
         listed = {t.version for t in self._targets.values() if t.service == order.service}
-        self.versions_of(order.service).ordered(order, listed)
+        self.versions_of(order.service).apply_order(order, listed)
 
     def serving(self, service: str, *, on_trial: bool = False) -> tuple[ListedTarget, ...]:
         """Return the targets of a service that may be given work.
@@ -164,8 +164,8 @@
         if versions is None:
             return able
         listed = {target.version for target in able}
-        wanted = versions.on_trial(listed) if on_trial else frozenset[str]()
-        wanted = wanted or versions.settled(listed)
+        wanted = versions.trial_versions(listed) if on_trial else frozenset[str]()
+        wanted = wanted or versions.ordinary_versions(listed)
         return tuple(target for target in able if target.version in wanted)
 
     def count_blocked_by_version(self, service: str) -> int:
@@ -184,7 +184,9 @@
         if versions is None or versions.is_ordinary(target.version):
             return True
         listed = {other.version for other in self._available(target.service)}
-        return target.version in versions.settled(listed) | versions.on_trial(listed)
+        return target.version in versions.ordinary_versions(listed) | versions.trial_versions(
+            listed
+        )
 
     def _available(self, service: str) -> tuple[ListedTarget, ...]:
         return tuple(
@@ -377,7 +379,7 @@
         for target in self._targets.values():
             listed.setdefault(target.service, set()).add(target.version)
         for service, versions in listed.items():
-            self.versions_of(service).note(versions)
+            self.versions_of(service).update_known_versions(versions)
 
     def _apply_entry(self, target: ListedTarget, now: float) -> bool:
         """Apply an entry; return whether other VMs need to be told of it.
@@ -405,7 +407,7 @@
         self._unlisted_until.pop(target.id, None)
         self._targets[target.id] = target
         if target.service in self._versions:
-            self._versions[target.service].saw(target.version)
+            self._versions[target.service].record_listed(target.version)
         self._mark_replaced_by(target, now)
         if known is None or was_held or known.revision.era == target.revision.era:
             return True
--- a/lagoonlever/gateway/rollout_lead.py
+++ b/lagoonlever/gateway/rollout_lead.py
@@ -164,7 +164,7 @@
         listed = targets.listed_versions(order.service)
         return OtherVersions(
             listed=any(version != order.version for version in listed),
-            answered=lead.book.other_answers > 0,
+            answered=lead.book.other_version_answers > 0,
             is_settled=self._timers.now >= targets.settled_at,
         )
 
@@ -273,10 +273,10 @@
             reason=plan.reason or "its answers are as good as the old version's",
             exposed=progress.exposed,
             arrivals=sum(progress.arrivals.values()),
-            ratio=round(progress.judgement.together, 2),
-            worst=round(progress.judgement.worst, 2),
-            moved=round(progress.moved.together, 2),
+            ratio=round(progress.judgement.total_log_ratio, 2),
+            worst=round(progress.judgement.worst_log_ratio, 2),
+            moved=round(progress.judgement_since_move.together, 2),
             listed=dict(targets.listed_versions(service)),
-            answers=lead.book.other_answers,
+            answers=lead.book.other_version_answers,
             settles_s=round(max(0.0, targets.settled_at - self._timers.now), 2),
         )
--- a/lagoonlever/gateway/rollouts.py
+++ b/lagoonlever/gateway/rollouts.py
@@ -172,7 +172,7 @@
         versions = self._beliefs.targets.versions_of(rollout.order.service)
         if not state.is_final or versions.state.is_final or versions.order != rollout.order:
             return
-        versions.decided(state)
+        versions.apply_state(state)
         events.ROLLOUT_DECIDED.log(
             log,
             service=rollout.order.service,
