--- a/lagoonlever/decisions/rollouts/evidence.py
+++ b/lagoonlever/decisions/rollouts/evidence.py
@@ -135,7 +135,7 @@
     """Give the logarithm of how much likelier one kind's answers are of a bad version."""
     all_old = old.total
     median = all_old.median_class()
-    usual = (all_old.bad(median) + 0.5) / (all_old.total + 10.0)
+    usual = (all_old.count_bad(median) + 0.5) / (all_old.total + 10.0)
     ratio = 0.0
     for second, answers in new.counts.items():
         beside = old.counts.get(second, AnswerCounts())
--- a/lagoonlever/decisions/rollouts/plan.py
+++ b/lagoonlever/decisions/rollouts/plan.py
@@ -174,7 +174,7 @@
     if not (
         progress.is_moving
         and progress.judgement.is_sound
-        and progress.judgement_since_move.leans_sound
+        and progress.judgement_since_move.is_likely_sound
     ):
         return False
     if left_s <= 0:
--- a/lagoonlever/gateway/rollout_lead.py
+++ b/lagoonlever/gateway/rollout_lead.py
@@ -275,7 +275,7 @@
             arrivals=sum(progress.arrivals.values()),
             ratio=round(progress.judgement.total_log_ratio, 2),
             worst=round(progress.judgement.worst_log_ratio, 2),
-            moved=round(progress.judgement_since_move.together, 2),
+            moved=round(progress.judgement_since_move.total_log_ratio, 2),
             listed=dict(targets.listed_versions(service)),
             answers=lead.book.other_version_answers,
             settles_s=round(max(0.0, targets.settled_at - self._timers.now), 2),
