--- a/lagoonlever/decisions/rollouts/__init__.py
+++ b/lagoonlever/decisions/rollouts/__init__.py
@@ -1,1 +1,1 @@
-"""A service's new version: its share, the evidence, the verdict."""
+"""Roll-out of a service's new version: its share of requests, the evidence, and the decision."""
--- a/lagoonlever/decisions/rollouts/versions.py
+++ b/lagoonlever/decisions/rollouts/versions.py
@@ -1,8 +1,9 @@
-"""Which versions of a service's targets new work may go to, while a roll-out is under way or over.
+"""Versions of a service's targets that may get new work during and after a roll-out.
 
-The load that is answered: an operator orders a new version and starts its targets beside the
-old ones; they are idle, so that whatever goes by load would send most new work there at
-once. Some versions are bad, and may only get a small share before that is known.
+An operator orders a new version and starts its targets next to the old ones. The new targets are
+idle, so that load balancing would send most new work to them at once. A version may be bad, and
+may get only a small share of the requests until that is known; targets are therefore filtered by
+version before they are chosen by load.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 
 
 class RolloutState(enum.Enum):
-    """What became of a roll-out."""
+    """State of a roll-out, as stored."""
 
     RUNNING = "running"
     COMPLETED = "completed"
@@ -21,19 +22,19 @@
 
     @property
     def is_final(self) -> bool:
-        """Whether it never changes again."""
+        """Whether the state can no longer change."""
         return self is not RolloutState.RUNNING
 
 
 class RolloutPhase(enum.Enum):
-    """How far a roll-out that is under way has come."""
+    """Phase of a running roll-out."""
 
     HELD = "held"
-    """The new version gets nothing: nobody has allowed it, or it is doubted."""
+    """The new version gets no requests: its trial has not been permitted yet, or it is in doubt."""
     TRIAL = "trial"
-    """It gets chosen requests."""
+    """The new version gets selected requests."""
     MOVING = "moving"
-    """It gets all new work, and the old version's runs come to their ends."""
+    """The new version gets all new work, while runs on the old version finish."""
 
 
 @attrs.frozen(kw_only=True)
@@ -43,52 +44,53 @@
     service: str
     version: str
     duration_s: float
-    """From the order on, until it has to be decided."""
+    """Time from the order to the deadline of its decision."""
 
 
 @attrs.define(kw_only=True)
 class ServiceVersions:
-    """Of one service: what was ordered, and what is in force."""
+    """Order of one service, its state, and the versions that may get work."""
 
     order: RolloutOrder | None = None
     state: RolloutState = RolloutState.RUNNING
     phase: RolloutPhase = RolloutPhase.HELD
-    _known: set[str] = attrs.field(factory=set)
-    """Versions that take work though nobody ordered them: they were there first."""
-    _beside: set[str] = attrs.field(factory=set)
-    """Other versions than the ordered one that were listed since the order."""
+    _established: set[str] = attrs.field(factory=set)
+    """Versions that get work without an order, as they were listed before any, or the last
+    completed one."""
+    _others_listed: set[str] = attrs.field(factory=set)
+    """Versions other than the ordered one that were listed since the order."""
 
     @property
     def is_alone(self) -> bool:
-        """Whether no other version was there since the order: nothing is to be moved."""
-        return self.order is not None and not self._beside
+        """Whether no other version was listed since the order, so that there is no work to move."""
+        return self.order is not None and not self._others_listed
 
     def update_known_versions(self, listed: set[str]) -> None:
-        """Take the versions that are listed; those of the first sight were there before.
+        """Record the listed versions as established, unless some are already.
 
-        One that comes later was started for an order that this VM may not know yet.
+        A version that appears later was started for an order that this VM may not know yet.
         """
-        if not self._known:
-            self._known = set(listed)
+        if not self._established:
+            self._established = set(listed)
             if self.order is not None and len(listed) > 1:
-                self._known.discard(self.order.version)
+                self._established.discard(self.order.version)
 
     def record_listed(self, version: str) -> None:
-        """Note that a target of a version is listed."""
+        """Record that a target of a version is listed."""
         if self.order is not None and version != self.order.version:
-            self._beside.add(version)
+            self._others_listed.add(version)
 
     def apply_order(self, order: RolloutOrder, listed: set[str]) -> None:
-        """Take an order; it is undecided until its status tells."""
+        """Apply a new order, which is running until its status is applied."""
         if self.order is not None and self.state is RolloutState.COMPLETED:
-            self._known = {self.order.version}
+            self._established = {self.order.version}
         self.order = order
         self.state, self.phase = RolloutState.RUNNING, RolloutPhase.HELD
-        self._known.discard(order.version)
-        self._beside = listed - {order.version}
+        self._established.discard(order.version)
+        self._others_listed = listed - {order.version}
 
     def apply_state(self, state: RolloutState) -> None:
-        """Take the status of the order; a final one never changes."""
+        """Apply the state of the order, unless the current one is final."""
         if self.state.is_final:
             return
         self.state = state
@@ -96,38 +98,38 @@
             self.phase = RolloutPhase.HELD
 
     def is_ordinary(self, version: str) -> bool:
-        """Tell whether a version was there first, and no order has touched the service."""
-        return self.order is None and version in self._known
+        """Check whether a version is an established one of a service without an order."""
+        return self.order is None and version in self._established
 
     def ordinary_versions(self, listed: set[str]) -> frozenset[str]:
-        """Give the versions that ordinary new work goes to, of those with targets that take work.
+        """Return the versions that ordinary new work goes to, out of those with available targets.
 
-        A service is not left without targets for want of a word: where only a version is
-        left that nobody has ordered, or that is undecided, it serves.
+        A service does not lose all targets for lack of a decision: if only versions are left that
+        were not ordered or are undecided, they serve. A rolled-back version never does.
         """
-        wanted = self._wanted(listed)
-        if wanted & listed:
-            return frozenset(wanted & listed)
+        preferred = self._preferred(listed)
+        if preferred & listed:
+            return frozenset(preferred & listed)
         if self.order is None or self.state is RolloutState.RUNNING:
             return frozenset(listed)
-        return frozenset(listed - {self._rolled_back})
+        return frozenset(listed - {self._rolled_back_version})
 
     def trial_versions(self, listed: set[str]) -> frozenset[str]:
-        """Give the version that chosen requests go to now, if any."""
+        """Return the version on trial, which gets selected requests, or an empty set."""
         if self.order is None or self.state.is_final or self.phase is not RolloutPhase.TRIAL:
             return frozenset()
         return frozenset({self.order.version} & listed)
 
-    def _wanted(self, listed: set[str]) -> set[str]:
+    def _preferred(self, listed: set[str]) -> set[str]:
         if self.order is None:
-            return self._known
+            return self._established
         version = self.order.version
         if self.state is RolloutState.COMPLETED or self.phase is RolloutPhase.MOVING:
             return {version}
-        return (self._known & listed) - {version} or listed - {version}
+        return (self._established & listed) - {version} or listed - {version}
 
     @property
-    def _rolled_back(self) -> str | None:
+    def _rolled_back_version(self) -> str | None:
         if self.order is None or self.state is not RolloutState.ROLLED_BACK:
             return None
         return self.order.version
--- a/lagoonlever/tests/rollout_losses_tests.py
+++ b/lagoonlever/tests/rollout_losses_tests.py
@@ -1,4 +1,4 @@
-"""What becomes of a roll-out whose VMs are lost beside a return of the store, in simulated time."""
+"""Tests of a roll-out whose VMs are lost while the store is restored, in simulated time."""
 
 from __future__ import annotations
 
@@ -26,28 +26,31 @@
 VMS = 4
 ORDER = RolloutOrder(service="apps", version="v2", duration_s=5.0)
 OLD, NEW = ("t-0", "t-1", "t-2", "t-3"), ("t-8", "t-9")
-WRITTEN_AGAIN_S = 0.5
-"""From a return of the store until operators and targets that live have written again."""
-LAPSE_S = 3.0
-"""From a return of the store until the entries of targets that are gone have lapsed."""
+REWRITE_S = 0.5
+"""Time from the restore of the store until operators and live targets have written again."""
+EXPIRY_S = 3.0
+"""Time from the restore of the store until the entries of dead targets have expired."""
 SERVED_AGAIN_S = 1.0
-"""From the lapse until each VM gives work to what is left."""
+"""Time from that expiry until each VM sends work to the remaining targets."""
 DECIDED_S = 15.0
-"""From the loss of all VMs until what is left of the order is decided everywhere."""
+"""Time from the loss of the VMs until every VM knows the decision on the order."""
 
 
 @attrs.frozen(kw_only=True)
 class Loss:
-    """What is lost, and what is left."""
+    """Case of what is lost and what remains."""
 
     state: RolloutState
-    """Of the order as the VMs are lost."""
+    """State of the order when the VMs are lost."""
     old: str
-    """The targets of the old version: ``alive``, ``dead``, or ``listed``, dead but in the copy."""
+    """Targets of the old version: ``alive``, ``dead``, or ``listed``.
+
+    ``listed`` targets are dead, but in the copy that the store is restored from.
+    """
     status_kept: bool
     order_kept: bool
     survivor: int | None
-    """The number of the VM that is left: the first leads, the last does not."""
+    """Number of the remaining VM, if any: the first one leads, the last one does not."""
 
     def __str__(self) -> str:
         kept = [name for name in ("status", "order") if getattr(self, f"{name}_kept")]
@@ -56,7 +59,10 @@
 
     @property
     def outcome(self) -> RolloutState:
-        """The one right end: what callers can be served by, and no more of what isn't known."""
+        """The only right final state.
+
+        Targets that exist serve callers, and nothing unknown is assumed.
+        """
         if self.old != "alive":
             return RolloutState.COMPLETED
         is_known = self.survivor is not None or self.status_kept
@@ -66,7 +72,7 @@
 
 
 def losses() -> Iterable[Loss]:
-    """Give every case; a copy that has the status has the order too."""
+    """Yield every case; a copy with the status also has the order."""
     for state, old, status_kept, order_kept, survivor in itertools.product(
         (RolloutState.COMPLETED, RolloutState.RUNNING),
         ("alive", "dead", "listed"),
@@ -86,7 +92,7 @@
 
 @attrs.define(kw_only=True, eq=False)
 class RolloutWorld(World):
-    """A fleet that rolls out versions, with the targets of two."""
+    """Simulated fleet with a roll-out and the targets of two versions."""
 
     rollouts: dict[str, Rollouts] = attrs.field(factory=dict)
 
@@ -117,17 +123,17 @@
         return (follower.run, rollouts.run, lead.run)
 
     def status(self) -> RolloutState | None:
-        """Give what stands in the store."""
+        """Return the state of the order in the store."""
         value = self.store.value(status_key(ORDER.service))
         return None if value is None else read_status("status", value).state
 
     def states(self) -> set[RolloutState | None]:
-        """Give what each VM takes the order for."""
+        """Return the states of the order on all VMs."""
         found = ((r, r.find(ORDER.service)) for r in self.rollouts.values())
         return {None if known is None else r.state_of(known) for r, known in found}
 
     def served(self) -> set[frozenset[str]]:
-        """Give which targets each VM gives work to."""
+        """Return the sets of targets that the VMs send work to."""
         return {
             frozenset(target.id for target in vm.beliefs.targets.serving(ORDER.service))
             for vm in self.fleet.vms.values()
@@ -135,14 +141,14 @@
 
 
 async def until(limit_s: float, holds: Callable[[], bool]) -> None:
-    """Wait for something to hold."""
+    """Wait until a condition holds, for at most ``limit_s`` seconds."""
     with trio.fail_after(limit_s):
         while not holds():  # noqa: ASYNC110
             await trio.sleep(0.05)
 
 
-async def play(world: RolloutWorld, loss: Loss, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Order a version, lose what the case loses, and hold the fleet to the one right end."""
+async def run_case(world: RolloutWorld, loss: Loss, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Order a version, apply the losses of the case, and check the only right final state."""
     before_order = await order(world)
     await trio.sleep(1.0)
     before_end = world.store.copy()
@@ -150,13 +156,13 @@
         await complete(world, monkeypatch)
     copy = before_end if loss.order_kept else before_order
     await lose(world, loss, world.store.copy() if loss.status_kept else copy)
-    await trio.sleep(WRITTEN_AGAIN_S)
-    lapsed_at = trio.current_time() + (LAPSE_S if loss.old == "listed" else 0.0)
+    await trio.sleep(REWRITE_S)
+    expired_at = trio.current_time() + (EXPIRY_S if loss.old == "listed" else 0.0)
     left = set(OLD) if loss.old == "alive" else set(NEW)
-    until_at = trio.current_time() + DECIDED_S
-    while trio.current_time() < until_at:
+    deadline = trio.current_time() + DECIDED_S
+    while trio.current_time() < deadline:
         await trio.sleep(0.1)
-        if trio.current_time() > lapsed_at + SERVED_AGAIN_S:
+        if trio.current_time() > expired_at + SERVED_AGAIN_S:
             assert all(world.served()), f"no target may be used, {left} are there"
             assert loss.old == "alive" or world.served() == {frozenset(NEW)}
     assert world.states() == {loss.outcome} == {world.status()}
@@ -165,7 +171,7 @@
 
 
 async def order(world: RolloutWorld) -> StoreCopy:
-    """Start targets of the next version, and have it ordered; gives the store of before."""
+    """Start targets of the new version and order it; return the store's copy from before."""
     for name in NEW:
         world.start_target(int(name.removeprefix("t-")), version="v2")
     await trio.sleep(0.3)
@@ -176,15 +182,15 @@
 
 
 async def complete(world: RolloutWorld, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Have the version judged sound."""
+    """Make the leader judge the version sound, and wait until all VMs know."""
     sound = Plan(phase=RolloutPhase.HELD, state=RolloutState.COMPLETED)
     with monkeypatch.context() as patched:
-        patched.setattr(rollout_lead, "plan_of", lambda *_: sound)
+        patched.setattr(rollout_lead, "plan_rollout", lambda *_: sound)
         await until(3.0, lambda: world.states() == {RolloutState.COMPLETED})
 
 
 async def lose(world: RolloutWorld, loss: Loss, copy: StoreCopy) -> None:
-    """End old targets, VMs and the store, which comes back from a copy."""
+    """Crash old targets and VMs, and restore the store from a copy."""
     if loss.old != "alive":
         for name in OLD:
             world.end(int(name.removeprefix("t-")))
@@ -199,40 +205,47 @@
 
 
 async def write_again(world: World, loss: Loss, lost: tuple[OutsideChange, ...]) -> None:
-    """Have entries of dead targets lapse, at once or late, and operators and targets write."""
+    """Let entries of dead targets expire, early or late; let operators and targets write again."""
     gone = [change for change in lost if change.value is None]
     if loss.old == "dead":
         world.store.write_again(gone)
-    await trio.sleep(WRITTEN_AGAIN_S)
+    await trio.sleep(REWRITE_S)
     world.store.write_again(change for change in lost if change.value is not None)
-    await trio.sleep(LAPSE_S - WRITTEN_AGAIN_S)
+    await trio.sleep(EXPIRY_S - REWRITE_S)
     world.store.write_again(gone)
 
 
 @pytest.mark.parametrize("loss", tuple(losses()), ids=str)
-def test_what_is_left_of_an_order_is_decided_so_that_callers_are_served(
+def test_after_losses_an_order_is_decided_so_that_callers_are_served(
     loss: Loss, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against a verdict on nothing that takes the only targets out which are left."""
+    """Guards against a decision without evidence that removes the only remaining targets.
 
-    async def story(world: World) -> None:
+    VMs and targets are lost while the store is restored from an older copy, which may lack the
+    order or list dead targets.
+    """
+
+    async def scenario(world: World) -> None:
         assert isinstance(world, RolloutWorld)
-        await play(world, loss, monkeypatch)
+        await run_case(world, loss, monkeypatch)
 
-    run_world(story, monkeypatch, vms=VMS, world_type=RolloutWorld)
+    run_world(scenario, monkeypatch, vms=VMS, world_type=RolloutWorld)
 
 
 def test_a_verdict_whose_answer_was_lost_holds(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against a version that is rolled back once operators have seen it completed."""
+    """Guards against rolling back a version that operators have already seen as completed.
+
+    The store writes the final state but its answer is lost, and it then returns an older copy.
+    """
 
-    async def story(world: World) -> None:
+    async def scenario(world: World) -> None:
         assert isinstance(world, RolloutWorld)
         await order(world)
         copy = world.store.copy()
         world.store.fault = StoreFault.LOSING
         with monkeypatch.context() as patched:
             sound = Plan(phase=RolloutPhase.MOVING, state=RolloutState.COMPLETED)
-            patched.setattr(rollout_lead, "plan_of", lambda *_: sound)
+            patched.setattr(rollout_lead, "plan_rollout", lambda *_: sound)
             await until(3.0, lambda: world.status() is RolloutState.COMPLETED)
         assert world.states() == {RolloutState.RUNNING}
         world.store.fault = StoreFault.REFUSING
@@ -242,7 +255,7 @@
         await until(DECIDED_S, lambda: RolloutState.RUNNING not in world.states())
         assert world.states() == {RolloutState.COMPLETED} == {world.status()}
 
-    run_world(story, monkeypatch, vms=VMS, world_type=RolloutWorld)
+    run_world(scenario, monkeypatch, vms=VMS, world_type=RolloutWorld)
 
 
 @pytest.mark.parametrize(
@@ -255,7 +268,7 @@
         (OtherVersions(listed=False, is_settled=True), RolloutState.COMPLETED),
     ],
 )
-def test_without_a_witness_entries_count_once_they_have_settled_or_answered(
+def test_without_counts_listed_targets_matter_once_settled_or_answered(
     others: OtherVersions, state: RolloutState
 ) -> None:
     plan = rollout_plan.plan_without_counts(others)
--- a/lagoonlever/tests/rollout_plan_tests.py
+++ b/lagoonlever/tests/rollout_plan_tests.py
@@ -1,4 +1,4 @@
-"""What a new version gets, and when it is decided."""
+"""Tests of the requests that a new version gets, and of the decision on it."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from lagoonlever.bench.rollout_model import STOPS_AFTER_S, Conduct, RolloutCase, RolloutModel
 from lagoonlever.decisions.rollouts import plan as rollout_plan
-from lagoonlever.decisions.rollouts import totals as rollout_book
+from lagoonlever.decisions.rollouts import totals as rollout_totals
 from lagoonlever.decisions.rollouts.evidence import (
     NO_EVIDENCE,
     AnswerCounts,
@@ -35,38 +35,41 @@
 BAD = Judgement(total_log_ratio=9.0, worst_log_ratio=9.0)
 
 
-def progress(elapsed_s: float, **more: object) -> TrialProgress:
-    fields = {"arrivals": {"bid": int(60 * elapsed_s)}, "exposed": 0, **more}
+def progress(elapsed_s: float, **overrides: object) -> TrialProgress:
+    fields = {"arrivals": {"bid": int(60 * elapsed_s)}, "exposed": 0, **overrides}
     return TrialProgress(elapsed_s=elapsed_s, **fields)  # type: ignore[arg-type]
 
 
 def counts(good: int, failed: int = 0, seconds: float = 0.05) -> AnswerCounts:
-    made = AnswerCounts(failed=failed)
+    result = AnswerCounts(failed=failed)
     for _ in range(good):
-        made = made.with_answer(seconds)
-    return made
+        result = result.with_answer(seconds)
+    return result
 
 
-def test_failures_beside_none_tell_a_bad_version_within_a_dozen_answers() -> None:
+def test_a_bad_version_is_detected_by_its_failures_within_a_dozen_answers() -> None:
     old = AnswersBySecond(counts={0: counts(60, 1)})
     assert judge([(AnswersBySecond(counts={0: counts(8, 4)}), old)]).is_bad
 
 
-def test_failures_that_the_old_version_has_too_say_nothing() -> None:
-    """A data centre's engines end in one second: both versions lose a third of their answers."""
+def test_failures_that_the_old_version_shares_are_no_evidence() -> None:
+    """Guards against blaming a version for crashes that are unrelated to it.
+
+    A data centre's engines crash in one second: both versions lose a third of their answers.
+    """
     old = AnswersBySecond(counts={0: counts(60), 1: counts(20, 12), 2: counts(60)})
     new = AnswersBySecond(counts={0: counts(10), 1: counts(4, 3), 2: counts(30)})
     assert not judge([(new, old)]).is_bad
     assert judge([(new, old)]).is_likely_sound
 
 
-def test_answers_that_take_four_times_as_long_tell_a_bad_version() -> None:
+def test_a_bad_version_is_detected_by_answers_that_take_four_times_as_long() -> None:
     old = AnswersBySecond(counts={0: counts(60)})
     slow = counts(8).plus(counts(6, seconds=0.2))
     assert judge([(AnswersBySecond(counts={0: slow}), old)]).is_bad
 
 
-def test_a_version_that_fails_on_one_route_only_is_told_from_a_sound_one() -> None:
+def test_a_version_that_fails_on_one_route_only_is_not_judged_sound() -> None:
     old = AnswersBySecond(counts={0: counts(60)})
     often = (AnswersBySecond(counts={0: counts(60)}), old)
     rare = (AnswersBySecond(counts={0: counts(2, 3)}), old)
@@ -75,29 +78,32 @@
 
 def test_a_message_that_is_lost_doubled_or_late_changes_no_count() -> None:
     lane = ("bid", RolloutPhase.TRIAL)
-    told = [
+    reports = [
         VmCounts(lanes={lane: counts(n)}, arrivals={"bid": 10 * n}, exposed=n) for n in range(1, 5)
     ]
-    book = RolloutTotals()
+    totals = RolloutTotals()
     for number in (0, 2, 2, 1, 3, 0):
-        book.record_vm_counts("vm-0", told[number], elapsed_s=1.0)
-    seen = book.progress(elapsed_s=2.0, is_moving=False)
+        totals.record_vm_counts("vm-0", reports[number], elapsed_s=1.0)
+    seen = totals.progress(elapsed_s=2.0, is_moving=False)
     assert (seen.arrivals, seen.exposed) == ({"bid": 40}, 4)
-    assert sum(c.total for c in book._seconds[lane].values()) == 4
+    assert sum(c.total for c in totals._counts_by_second[lane].values()) == 4
 
 
-def test_only_good_answers_tell_that_targets_of_other_versions_are_there() -> None:
-    """Guards against resets of dead targets' connections that are taken for a sign of life."""
-    book = RolloutTotals()
+def test_only_good_answers_show_that_targets_of_other_versions_exist() -> None:
+    """Guards against taking connection resets of dead targets as proof that the targets exist."""
+    totals = RolloutTotals()
     for good in (0, 1):
         lanes = {("bid", None): counts(good, failed=3), ("bid", RolloutPhase.TRIAL): counts(4)}
-        told = VmCounts(lanes=lanes, arrivals={"bid": 7 + good})
-        book.record_vm_counts("vm-0", told, elapsed_s=1.0)
-        assert book.other_version_answers == good
+        report = VmCounts(lanes=lanes, arrivals={"bid": 7 + good})
+        totals.record_vm_counts("vm-0", report, elapsed_s=1.0)
+        assert totals.other_version_answers == good
 
 
-def test_a_vm_that_begins_to_lead_is_told_what_was_counted_before() -> None:
-    """The VM that led is killed, and nothing new is counted: the next one knew of nothing."""
+def test_a_new_leader_is_sent_the_earlier_counts() -> None:
+    """Guards against a new leader without any counts.
+
+    The leading VM is killed and nothing new is counted, so the other VMs had nothing to send.
+    """
     tally = RolloutTally(order=ORDER, ordered_at=at(5))
     tally.arrived("bid")
     assert tally.news("vm-0", 10.0) is not None
@@ -111,7 +117,7 @@
     assert (plan.state, plan.phase) == (RolloutState.ROLLED_BACK, RolloutPhase.HELD)
 
 
-def test_all_work_moves_only_when_the_rest_fits_into_the_allowance() -> None:
+def test_all_work_moves_only_when_the_expected_requests_fit_into_the_allowance() -> None:
     early = plan_rollout(ORDER, progress(3.0, judgement=SOUND, exposed=15), BOUNDS)
     late = plan_rollout(ORDER, progress(10.8, judgement=SOUND, exposed=15), BOUNDS)
     assert (early.phase, late.phase) == (RolloutPhase.TRIAL, RolloutPhase.MOVING)
@@ -130,15 +136,16 @@
 def test_a_sound_version_stays_where_more_requests_came_than_were_expected(
     exposed: int, moved: Judgement, state: RolloutState
 ) -> None:
-    """Guards against one that loses all work again right before its deadline, and is rolled back.
+    """Guards against a sound version that loses all work right before its deadline.
 
-    What it may get until the deadline is 122 requests here, of which 42 are to come.
+    More requests arrive than expected, and the version would be rolled back. Its allowance until
+    the deadline is 122 requests here, of which 42 are still expected.
     """
     seen = progress(11.3, judgement=SOUND, moved=moved, exposed=exposed, is_moving=True)
     assert plan_rollout(ORDER, seen, BOUNDS).state is state
 
 
-def test_a_version_that_nothing_is_known_of_is_not_completed() -> None:
+def test_a_version_without_evidence_is_not_completed() -> None:
     for judgement in (NO_EVIDENCE, Judgement(total_log_ratio=-2.0, worst_log_ratio=-2.0)):
         plan = plan_rollout(ORDER, progress(12.0, judgement=judgement), BOUNDS)
         assert plan.state is RolloutState.ROLLED_BACK
@@ -152,7 +159,7 @@
     exposed=st.integers(0, 500),
     duration_s=st.floats(0.5, 60.0),
 )
-def test_what_is_planned_never_goes_beyond_the_allowance(
+def test_a_plan_never_exceeds_the_allowance(
     elapsed_s: float, arrivals: dict[str, int], exposed: int, duration_s: float
 ) -> None:
     order = RolloutOrder(service="apps", version="v2", duration_s=duration_s)
@@ -225,10 +232,10 @@
     assert run.exposed > run.allowed
 
 
-def test_without_the_test_by_answers_a_bad_version_gets_requests_on(
+def test_without_the_judgement_by_answers_a_bad_version_keeps_getting_requests(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(rollout_book, "judge", lambda _: SOUND)
+    monkeypatch.setattr(rollout_totals, "judge", lambda _: SOUND)
     run = late_version(1).run()
     assert run.state is RolloutState.COMPLETED
     assert run.after_stop_s > STOPS_AFTER_S
@@ -248,7 +255,7 @@
     assert versions.ordinary_versions({"v1", "v2"}) == {"v2"}
 
 
-def test_a_version_that_was_rolled_back_gets_nothing_though_it_is_alone() -> None:
+def test_a_rolled_back_version_gets_nothing_even_if_it_is_the_only_one() -> None:
     versions = ServiceVersions()
     versions.update_known_versions({"v1"})
     versions.apply_order(ORDER, {"v1"})
