--- a/lagoonlever/tests/rollout_plan_tests.py
+++ b/lagoonlever/tests/rollout_plan_tests.py
@@ -141,7 +141,9 @@
     More requests arrive than expected, and the version would be rolled back. Its allowance until
     the deadline is 122 requests here, of which 42 are still expected.
     """
-    seen = progress(11.3, judgement=SOUND, moved=moved, exposed=exposed, is_moving=True)
+    seen = progress(
+        11.3, judgement=SOUND, judgement_since_move=moved, exposed=exposed, is_moving=True
+    )
     assert plan_rollout(ORDER, seen, BOUNDS).state is state
 
 
