--- a/lagoonlever/decisions/targets/__init__.py
+++ b/lagoonlever/decisions/targets/__init__.py
@@ -1,1 +1,1 @@
-"""The list of targets, and what each says of itself."""
+"""The list of targets, their reported load, limits and leave announcements."""
--- a/lagoonlever/decisions/targets/registry.py
+++ b/lagoonlever/decisions/targets/registry.py
@@ -466,6 +466,7 @@
         return gone.revision if gone is not None else UNKNOWN_REVISION
 
     def _remove(self, target_id: str, revision: Revision, now: float) -> None:
+        """Remove a target and remember the revision of its removal and its process's start."""
         started_ms = self.process_start(target_id)
         self._held_removals.pop(target_id, None)
         self._targets.pop(target_id, None)
