--- a/lagoonlever/bench/claims.py
+++ b/lagoonlever/bench/claims.py
@@ -13,8 +13,8 @@
 import trio
 
 from lagoonlever.bench.report import BenchOptions, BenchResult, Rows, benchmark, column
-from lagoonlever.decisions.claims.claims import HomeTable, Run
-from lagoonlever.decisions.claims.group import Bound
+from lagoonlever.decisions.claims.claim_queue import Bound
+from lagoonlever.decisions.claims.key_table import KeyTable, Run
 from lagoonlever.entry.fleet.claims import BUCKET_S, Claims
 from lagoonlever.entry.services.settings import ServiceSettings
 from lagoonlever.fakes.platform import FakePlatform, PlatformFault, PlatformFaultKind
@@ -68,7 +68,7 @@
 class ClaimingVm:
     """One VM's table of keys and its claims."""
 
-    table: HomeTable
+    table: KeyTable
     claims: Claims
     platform: EtcdPlatform
     latencies: list[float] = attrs.field(factory=list)
@@ -95,9 +95,9 @@
 def _vm(index: int, platform: EtcdPlatform) -> ClaimingVm:
     settings = ServiceSettings(home_bytes=1 << 30)
     timers = TimerService()
-    table = HomeTable(
+    table = KeyTable(
         own=Incarnation(name=f"vm{index}", started_ms=1, nonce=index),
-        born_at=timers.now,
+        started_at=timers.now,
         limit_bytes=settings.home_bytes,
     )
     claims = Claims(
--- a/lagoonlever/decisions/streams/run_placement.py
+++ b/lagoonlever/decisions/streams/run_placement.py
@@ -117,13 +117,13 @@
     """State of this VM that a placement is decided on."""
 
     book: EngineScheduler
-    window: RetryWindow
+    retry_window: RetryWindow
     """The retry budget."""
     targets: TargetRegistry
     limits: EngineLimits
-    vms: int = 1
-    """Number of VMs that share the window's slack; 1 if the window counts the runs of all VMs."""
-    ranked: bool = False
+    vm_count: int = 1
+    """Number of VMs that share the slack of `retry_window`; 1 if it counts the runs of all VMs."""
+    ranks_differ: bool = False
     """Whether streams of the service differ in rank."""
 
 
@@ -132,7 +132,7 @@
 
     ``now`` is in seconds of the monotonic clock.
     """
-    if request.repeat and not context.window.allows(now, vms=context.vms):
+    if request.repeat and not context.retry_window.allows(now, vms=context.vm_count):
         return RetryBudgetExhausted()
     overloaded = _check_overload(request, context, now)
     if overloaded is not None:
@@ -142,14 +142,14 @@
     return _place(request, context, now) or NoEngine()
 
 
-def place_where_ready(
+def place_on_ready_engine(
     request: PlacementRequest, context: PlacementContext, now: float
 ) -> RunOutcome | NoCapacity:
-    """Place an attempt that can wait in the queue for an engine that starts it soon.
+    """Place a queued attempt on an engine that starts it soon.
 
     Return `NoCapacity` while every engine has more prefill work left than `BEGINS_WITHIN_S`.
     """
-    if request.repeat and not context.window.allows(now, vms=context.vms):
+    if request.repeat and not context.retry_window.allows(now, vms=context.vm_count):
         return RetryBudgetExhausted()
     serving = context.targets.serving(request.service, on_trial=request.on_trial)
     if all(engine.id in request.avoid for engine in serving):
@@ -157,8 +157,11 @@
     return _place(request, context, now, begins_within_s=BEGINS_WITHIN_S) or NoCapacity()
 
 
-def ready_rate(service: str, context: PlacementContext, now: float) -> float:
-    """Return the prompts per second that a service's engines can prefill; avoided ones excluded."""
+def prefills_per_s(service: str, context: PlacementContext, now: float) -> float:
+    """Return the number of prompts per second that a service's engines can prefill.
+
+    Engines that are avoided at ``now`` are not counted.
+    """
     avoidance = context.book.avoidance
     usable = [e for e in context.targets.serving(service) if not avoidance.is_avoided(e.id, now)]
     return max_prefills_per_s(len(usable), context.book.timings.usual_prefill_s(service))
@@ -228,7 +231,7 @@
         run_engine=engine,
         memory_tokens=request.memory_tokens,
         now=now,
-        by_losses=context.ranked,
+        by_losses=context.ranks_differ,
     )
     return holder.id if holder is not None else None
 
--- a/lagoonlever/decisions/streams/run_records.py
+++ b/lagoonlever/decisions/streams/run_records.py
@@ -25,12 +25,12 @@
     """Latest known state of one run; points in time are seconds of the monotonic clock."""
 
     run: EngineRun
-    since: float
+    recorded_at: float
     """When the run was recorded or its placement reserved."""
     ended_at: float | None = None
-    whole: bool = False
+    complete: bool = False
     """Whether the run ended with a complete answer."""
-    beside_prompts: bool = False
+    shared_prefill: bool = False
     """Whether its engine had another prompt to prefill at the same time."""
     sent: bool = True
     """False while the run has only a reserved placement and was never sent to an engine."""
@@ -42,7 +42,7 @@
         more, or after its reservation lapsed.
         """
         if not self.sent:
-            return now - self.since > RESERVATION_S
+            return now - self.recorded_at > RESERVATION_S
         return self.ended_at is not None and now - self.ended_at > keep_s
 
 
@@ -64,11 +64,14 @@
         """Return the record of a request, or None."""
         return self._records.get(request)
 
-    def last_of(self, part: str) -> RunRecord | None:
-        """Return the last record of a prompt segment, or None."""
+    def find_by_segment(self, part: str) -> RunRecord | None:
+        """Return the record of the last request of a prompt segment, or None.
+
+        ``part`` is the id of the segment.
+        """
         return self._records.get(self._request_by_segment.get(part, ""))
 
-    def unread_at(self, engine: str) -> list[RunRecord]:
+    def prefilling_at(self, engine: str) -> list[RunRecord]:
         """Return the open runs at an engine whose prompts are not prefilled yet."""
         return [
             record
@@ -76,7 +79,7 @@
             if record.run.engine == engine and record.ended_at is None and not record.run.flowing
         ]
 
-    def unread(self) -> dict[str, list[RunRecord]]:
+    def prefilling_by_engine(self) -> dict[str, list[RunRecord]]:
         """Return the open runs whose prompts are not prefilled yet, by engine."""
         by_engine: dict[str, list[RunRecord]] = {}
         for record in self._records.values():
@@ -84,7 +87,7 @@
                 by_engine.setdefault(record.run.engine, []).append(record)
         return by_engine
 
-    def enter(self, run: EngineRun, now: float) -> None:
+    def record_sent(self, run: EngineRun, now: float) -> None:
         """Record a run that was sent to an engine, in place of an earlier one of its request."""
         self._add(run, now)
         if run.part is not None:
@@ -95,7 +98,7 @@
         previous = self._records.get(run.request)
         self._add(run, now).sent = previous is not None and previous.sent
 
-    def forget_others(self, vm: str) -> None:
+    def discard_others(self, vm: str) -> None:
         """Remove the runs of all VMs but ``vm``."""
         for record in list(self._records.values()):
             if record.run.vm != vm:
@@ -109,10 +112,10 @@
 
     def _add(self, run: EngineRun, now: float) -> RunRecord:
         """Store a new record, and mark the prefills that it shares its engine with."""
-        record = RunRecord(run=run, since=now)
-        for other in self.unread_at(run.engine):
+        record = RunRecord(run=run, recorded_at=now)
+        for other in self.prefilling_at(run.engine):
             if other.run.request != run.request:
-                record.beside_prompts = other.beside_prompts = True
+                record.shared_prefill = other.shared_prefill = True
         self._records[run.request] = record
         return record
 
--- a/lagoonlever/entry/generations/orphans.py
+++ b/lagoonlever/entry/generations/orphans.py
@@ -10,7 +10,7 @@
 
 from lagoonlever.decisions.membership.membership import Member, MemberView
 from lagoonlever.decisions.streams.orphans import OrphanRegistry, StreamRecord, StreamReporter
-from lagoonlever.decisions.streams.placement import select_record_holders
+from lagoonlever.decisions.streams.record_placement import select_record_holders
 from lagoonlever.entry.engines.engines import Engines
 from lagoonlever.entry.generations.attempt import cancel_stream
 from lagoonlever.events import event
@@ -54,11 +54,11 @@
 
     def _on_tick(self, tick: Tick) -> None:
         if tick.paused_s:
-            self._holder.paused(tick.paused_s)
+            self._holder.discount_pause(tick.paused_s)
         view = self._members.value
         self._tell_opened(view, tick.now)
         self._tell_closed(view)
-        for record in self._holder.due(view, tick.now):
+        for record in self._holder.pop_due(view, tick.now):
             ORPHAN_CANCELLED.log(log, stream=record.stream_id, engine=str(record.engine))
             self._background.start_soon(cancel_stream, record.engine, record.stream_id)
 
@@ -66,7 +66,7 @@
         open_streams = self._engines.open_streams
         by_holder: defaultdict[Member, list[StreamRecord]] = defaultdict(list)
         since = {name: stream.since for name, stream in open_streams.items()}
-        for name in self._reporter.due(since, now):
+        for name in self._reporter.due_reports(since, now):
             stream = open_streams[name]
             for holder in select_record_holders(stream.request_id, view, count=1):
                 by_holder[holder].append(StreamRecord(stream_id=name, engine=stream.engine))
@@ -78,7 +78,7 @@
     def _tell_closed(self, view: MemberView) -> None:
         since = {name: stream.since for name, stream in self._engines.open_streams.items()}
         by_holder: defaultdict[Member, list[str]] = defaultdict(list)
-        for name, incarnation in self._reporter.ended(since):
+        for name, incarnation in self._reporter.pop_ended(since):
             holder = view.find(incarnation)
             if holder is not None:
                 by_holder[holder].append(name)
--- a/lagoonlever/entry/services/dispatch.py
+++ b/lagoonlever/entry/services/dispatch.py
@@ -8,14 +8,14 @@
 import trio
 
 from lagoonlever.decisions.admission.runners import Runners
-from lagoonlever.decisions.claims.claims import StoredAnswer
-from lagoonlever.decisions.claims.dispatch import (
-    CheckAgain,
-    ChooseAgain,
+from lagoonlever.decisions.claims.key_table import StoredAnswer
+from lagoonlever.decisions.claims.write_check import (
+    ChooseOtherTarget,
+    RefreshTargets,
     Refuse,
     Write,
+    WriteContext,
     WriteDecision,
-    WriteFacts,
     decide_write,
 )
 from lagoonlever.decisions.targets.targets import Target, TargetState, TargetView
@@ -101,7 +101,7 @@
         self._guard.connected(target)
         try:
             decision = await self._check(call, target, key_expires_at)
-            if isinstance(decision, ChooseAgain):
+            if isinstance(decision, ChooseOtherTarget):
                 return None
             if isinstance(decision, Refuse):
                 return self._refused(decision)
@@ -114,14 +114,14 @@
 
     async def _check(
         self, call: ServiceCall, target: Target, key_expires_at: float | None
-    ) -> Write | ChooseAgain | Refuse:
+    ) -> Write | ChooseOtherTarget | Refuse:
         """Check until the decision is final; nothing awaits between it and the write.
 
         After a pause the view of the targets is old; waiting until the pause is
         no longer recent gives its owner the time to renew it.
         """
         decision = self._decide(call, target, key_expires_at)
-        while isinstance(decision, CheckAgain):
+        while isinstance(decision, RefreshTargets):
             await trio.sleep(TICK_S)
             decision = self._decide(call, target, key_expires_at)
         return decision
@@ -130,7 +130,7 @@
         self, call: ServiceCall, target: Target, key_expires_at: float | None
     ) -> WriteDecision:
         return decide_write(
-            WriteFacts(
+            WriteContext(
                 now=self._timers.now,
                 deadline=call.deadline,
                 key_expires_at=key_expires_at,
--- a/lagoonlever/entry/services/keyed.py
+++ b/lagoonlever/entry/services/keyed.py
@@ -8,21 +8,21 @@
 import logbook
 import trio
 
-from lagoonlever.decisions.claims.claims import (
-    Expired,
-    Full,
-    HomeTable,
+from lagoonlever.decisions.claims.key_table import (
+    ExpiryTooFar,
+    FingerprintMismatch,
     InProgress,
+    KeyExpired,
     KeyRecord,
     KeyState,
-    Mismatch,
-    NotMine,
-    Repeat,
+    KeyTable,
+    RepeatAnswer,
     Run,
     StoredAnswer,
-    TooFar,
+    TableFull,
+    WrongHome,
 )
-from lagoonlever.decisions.claims.keys import KEY_HEADER, HomedKey, fingerprint_of
+from lagoonlever.decisions.claims.keys import KEY_HEADER, HomedKey, request_fingerprint
 from lagoonlever.decisions.targets.targets import Target
 from lagoonlever.entry.services.answers import (
     RETRY_NEW_KEY,
@@ -61,7 +61,7 @@
     also when the caller that sent it has gone.
     """
 
-    _table: HomeTable
+    _table: KeyTable
     _dispatcher: Dispatcher
     _timers: TimerService
     _settings: ServiceSettings
@@ -88,33 +88,33 @@
     async def call(self, call: ServiceCall, key: HomedKey) -> StoredAnswer:
         """Run a request under a key of this home, or tell what has become of it."""
         admission = self._table.admit(
-            key, fingerprint=fingerprint_of(call.request), now=self._timers.now
+            key, fingerprint=request_fingerprint(call.request), now=self._timers.now
         )
         match admission:
             case Run(record=record):
                 return await self._start(call, record)
             case InProgress(record=record):
                 return await self._wait(call, record)
-            case Repeat(answer=answer):
+            case RepeatAnswer(answer=answer):
                 return answer
-            case Mismatch():
+            case FingerprintMismatch():
                 return used_for_another()
-            case NotMine():
+            case WrongHome():
                 return unknown(
                     Reason.HOME_UNREACHABLE,
                     "the VM that held this key has ended; look up the request's effect",
                 )
-            case Expired():
+            case KeyExpired():
                 return unknown(
                     Reason.KEY_EXPIRED,
                     "the key has expired: it will not run, and whether it ran is no longer kept",
                 )
-            case TooFar():
+            case ExpiryTooFar():
                 return unknown(
                     Reason.BAD_REQUEST,
                     f"{KEY_HEADER}: expires later than keys may live; {RETRY_NEW_KEY}",
                 )
-            case Full():
+            case TableFull():
                 return not_run(
                     Reason.OVERLOADED,
                     f"no memory for another key; {RETRY_NEW_KEY}",
@@ -139,7 +139,7 @@
             self._note_written(call, record, target)
             return True
 
-        life_left_s = record.key.expires_life_s - self._table.life_s(self._timers.now)
+        life_left_s = record.key.expires_at_age_s - self._table.age_s(self._timers.now)
         answer: StoredAnswer | None = None
         try:
             answer = await self._dispatcher.dispatch(
--- a/lagoonlever/entry/services/keys.py
+++ b/lagoonlever/entry/services/keys.py
@@ -5,17 +5,17 @@
 import attrs
 import trio
 
-from lagoonlever.decisions.claims.claims import StoredAnswer
-from lagoonlever.decisions.claims.copies import Copied, OtherRequest
-from lagoonlever.decisions.claims.group import ClaimResult, Unbound
+from lagoonlever.decisions.claims.answer_copies import CopiedAnswer, MismatchedCopy
+from lagoonlever.decisions.claims.claim_queue import BindingUnknown, ClaimResult
+from lagoonlever.decisions.claims.key_table import StoredAnswer
 from lagoonlever.decisions.claims.keys import (
     KEY_HEADER,
     HomedKey,
     PlainKey,
-    fingerprint_of,
-    parse_homed,
+    claim_scope,
+    parse_homed_key,
     parse_key,
-    scope_of,
+    request_fingerprint,
 )
 from lagoonlever.decisions.membership.membership import MemberView
 from lagoonlever.entry.fleet.claims import Claims
@@ -58,7 +58,7 @@
 
     async def _forwarded(self, call: ServiceCall, homed_text: str) -> StoredAnswer:
         """Answer what another VM forwarded; never forward it on, so that none goes in circles."""
-        key = parse_homed(homed_text)
+        key = parse_homed_key(homed_text)
         if key is None:
             raise RequestRefused(
                 status=400, field=HOMED_KEY_HEADER, message="is no key with a home"
@@ -73,11 +73,11 @@
         have been bound and run through another VM, which can't be looked up now.
         """
         credential = call.request.headers.get("Authorization", "") or ""
-        scope = scope_of(key, service=call.service.name, credential=credential)
-        bound: ClaimResult = Unbound()
+        scope = claim_scope(key, service=call.service.name, credential=credential)
+        bound: ClaimResult = BindingUnknown()
         with trio.move_on_after(call.left_s(self._timers.now)):
             bound = await self._claims.bind(scope)
-        if isinstance(bound, Unbound):
+        if isinstance(bound, BindingUnknown):
             return unknown(
                 Reason.PLATFORM_DOWN,
                 "this copy was not run, but whether another one was can't be found out now;"
@@ -114,10 +114,10 @@
         return None
 
     def _own_copy(self, call: ServiceCall, key: HomedKey) -> StoredAnswer | None:
-        found = self._copier.find(key, fingerprint=fingerprint_of(call.request))
-        if isinstance(found, Copied):
+        found = self._copier.find(key, fingerprint=request_fingerprint(call.request))
+        if isinstance(found, CopiedAnswer):
             return found.answer
-        return used_for_another() if isinstance(found, OtherRequest) else None
+        return used_for_another() if isinstance(found, MismatchedCopy) else None
 
 
 def _home_unreachable(answer: StoredAnswer) -> bool:
--- a/lagoonlever/tests/orphans_tests.py
+++ b/lagoonlever/tests/orphans_tests.py
@@ -93,12 +93,12 @@
     def pause(self, seconds: float) -> None:
         """Pause the holder, which meanwhile cannot learn whether owners are alive again."""
         self.now += seconds
-        self.holder.paused(seconds)
+        self.holder.discount_pause(seconds)
         self.lost_since = {owner: at + seconds for owner, at in self.lost_since.items()}
         self.check()
 
     def check(self) -> None:
-        due = self.holder.due(view(self.states), self.now)
+        due = self.holder.pop_due(view(self.states), self.now)
         for record in due:
             owner = self.owners.pop(record.stream_id)
             assert owner in self.lost_since, "the stream of a live VM was cancelled"
@@ -138,8 +138,8 @@
     reporter = StreamReporter()
     open_since = {"short": 10.0, "long": 5.0}
     now = 5.0 + RECORD_AFTER_S
-    assert reporter.due(open_since, now) == ["long"]
+    assert reporter.due_reports(open_since, now) == ["long"]
     reporter.record_report("long", incarnation("holder"))
-    assert reporter.due(open_since, now) == []
-    assert reporter.ended({"short": 10.0}) == [("long", incarnation("holder"))]
-    assert reporter.ended({}) == []
+    assert reporter.due_reports(open_since, now) == []
+    assert reporter.pop_ended({"short": 10.0}) == [("long", incarnation("holder"))]
+    assert reporter.pop_ended({}) == []
--- a/lagoonlever/tests/stream_silence_tests.py
+++ b/lagoonlever/tests/stream_silence_tests.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from lagoonlever.decisions.streams.silence import (
+    DEFAULT_MAX_PAUSE_S,
     FIRST_QUERY_S,
     MIN_SUSPECT_S,
-    PAUSE_ALLOWED_S,
     QUERY_SHARE_OF_PAUSE,
     AttemptLost,
     QueryEngine,
@@ -34,12 +34,12 @@
     silence, last = flowing(spacing_s=0.23)
     step = silence.next_step(last)
     assert isinstance(step, WaitUntil)
-    assert MIN_SUSPECT_S < step.at - last <= QUERY_SHARE_OF_PAUSE * PAUSE_ALLOWED_S + 1e-9
+    assert MIN_SUSPECT_S < step.at - last <= QUERY_SHARE_OF_PAUSE * DEFAULT_MAX_PAUSE_S + 1e-9
 
 
 def test_an_attempt_is_lost_if_its_engine_does_not_answer() -> None:
     silence, last = flowing()
-    silence.record_status(RunStatus.NONE, last + 0.25)
+    silence.record_status(RunStatus.NO_REPORT, last + 0.25)
     step = silence.next_step(last + 0.25)
     assert isinstance(step, AttemptLost) and step.unanswered
 
@@ -54,25 +54,25 @@
     """A prefill takes a second; the loss of one packet of the query must not waste it."""
     silence = SilenceDetector(sent_at=0.0)
     assert isinstance(silence.next_step(FIRST_QUERY_S), QueryEngine)
-    silence.record_status(RunStatus.NONE, 0.5)
+    silence.record_status(RunStatus.NO_REPORT, 0.5)
     assert isinstance(silence.next_step(0.5), QueryEngine)
-    silence.record_status(RunStatus.NONE, 0.6)
+    silence.record_status(RunStatus.NO_REPORT, 0.6)
     assert isinstance(silence.next_step(0.6), AttemptLost)
 
 
 def test_a_loss_that_other_streams_have_seen_needs_only_one_query() -> None:
     silence = SilenceDetector(sent_at=0.0)
-    silence.suspect(0.2)
+    silence.query_at_once(0.2)
     assert isinstance(silence.next_step(0.2), QueryEngine)
-    silence.record_status(RunStatus.NONE, 0.3)
+    silence.record_status(RunStatus.NO_REPORT, 0.3)
     assert isinstance(silence.next_step(0.3), AttemptLost)
 
 
 def test_a_run_that_is_not_listed_for_long_is_lost() -> None:
     silence = SilenceDetector(sent_at=0.0)
-    silence.record_status(RunStatus.NOT_THERE, 0.4)
+    silence.record_status(RunStatus.NOT_LISTED, 0.4)
     assert not isinstance(silence.next_step(0.4), AttemptLost)
-    silence.record_status(RunStatus.NOT_THERE, 1.0)
+    silence.record_status(RunStatus.NOT_LISTED, 1.0)
     assert isinstance(silence.next_step(1.0), AttemptLost)
 
 
@@ -102,7 +102,7 @@
 
 
 def test_half_of_the_pause_that_a_route_accepts_is_left_for_the_resume() -> None:
-    silence = SilenceDetector(sent_at=0.0, pause_allowed_s=0.3)
+    silence = SilenceDetector(sent_at=0.0, max_pause_s=0.3)
     for number in range(30):
         silence.record_event(1.0 + 0.08 * number)
     step = silence.next_step(1.0 + 0.08 * 29)
@@ -118,5 +118,5 @@
 
 def test_a_run_is_lost_if_its_engine_was_restarted() -> None:
     silence, last = flowing()
-    silence.record_status(RunStatus.STARTED_AGAIN, last + 0.2)
+    silence.record_status(RunStatus.ENGINE_RESTARTED, last + 0.2)
     assert isinstance(silence.next_step(last + 0.2), AttemptLost)
