--- a/lagoonlever/decisions/admission/admission.py
+++ b/lagoonlever/decisions/admission/admission.py
@@ -1,8 +1,9 @@
-"""Admission to one pool of engines: which requests wait, start next, or are told to retry.
+"""Admission to one pool of engines: which requests wait, start next, or are rejected.
 
-All VMs run the same decisions, each over its own queues and over the usage totals that the VMs
-exchange. The caller of this module passes in the time, carries out what ``poll`` decides, and
-reports the usage and the end of each request.
+A rejection has a time after which to retry. A leaf is a node of the share tree without children;
+each request belongs to one. All VMs run the same decisions, each over its own queues and over the
+usage totals that the VMs exchange. The caller of this module passes in the time, carries out what
+``poll`` decides, and reports the usage and the end of each request.
 """
 
 from __future__ import annotations
@@ -376,16 +377,16 @@
         running = sum(one.leaf == leaf for one in self._running.values())
         return _Count(running=running, waiting=len(self._queue(leaf)))
 
-    def _move(self, leaf: str, target: str) -> None:
+    def _move(self, leaf: str, new_leaf: str) -> None:
         """Move the waiting and running requests of a leaf to another leaf."""
         for waiting in self._queues.pop(leaf, LeafQueue()).waiting:
-            self._queue(target).push(waiting)
+            self._queue(new_leaf).push(waiting)
         for running in self._running.values():
             if running.leaf == leaf:
-                running.leaf = target
+                running.leaf = new_leaf
         for ticket, old in self._waiting_leaves.items():
             if old == leaf:
-                self._waiting_leaves[ticket] = target
+                self._waiting_leaves[ticket] = new_leaf
 
 
 def _max_running(limits: Mapping[str, NodeLimits]) -> dict[str, float]:
--- a/lagoonlever/decisions/admission/call_queue.py
+++ b/lagoonlever/decisions/admission/call_queue.py
@@ -1,11 +1,11 @@
 """Queue of calls to one group of runners of a service: which call goes where, waits, is rejected.
 
-A typical load is 142 calls a second from 60 VMs at four runners of six slots. Demand changes by
-half of its mean within seconds, machines are slow for moments, and a latency objective of 300 ms
-leaves no time for a second attempt. A VM by itself receives a load report of a runner only every
-other second, and sends calls behind a queue at one runner while a slot is free at another. So one
-VM per group of runners grants their slots, as late as possible: a call waits in this queue and not
-at a runner.
+The load is, for example, 142 calls a second from 60 VMs at four runners of six slots. Demand
+changes by half of its mean within seconds, machines are slow for moments, and a latency objective
+of 300 ms leaves no time for a second attempt. A VM by itself receives a load report of a runner
+only every other second, and sends calls behind a queue at one runner while a slot is free at
+another. So one VM per group of runners grants their slots, as late as possible: a call waits in
+this queue and not at a runner.
 """
 
 from __future__ import annotations
@@ -57,7 +57,7 @@
 """Share of the runners' call rate for which rejected callers' retries are scheduled."""
 MAX_LOGGED_AGE_S = 99.0
 USABLE_CAPACITY_SHARE = 0.85
-"""Share of the runners' call rate that late calls may count on."""
+"""Share of the runners' call rate that is assumed to be available to late calls."""
 FINISH_MARGIN_FACTOR = 1.5
 """A call is expected to end in time if this many times the usual work time is left for it."""
 
@@ -172,7 +172,10 @@
                 self._runners[name] = RunnerSlots(name=name, data_center=data_center)
 
     def record_restart(self, name: str) -> None:
-        """Discard a runner's state, as a new process has taken over its id."""
+        """Discard a runner's state, as a new process has taken over its id.
+
+        The granted slots go with it, as the calls that held them were at the former process.
+        """
         former = self._runners.pop(name, None)
         if former is not None:
             self._runners[name] = RunnerSlots(name=name, data_center=former.data_center)
@@ -357,7 +360,10 @@
     def _best_runner(
         self, request: SlotRequest, now: float, *, queued: int = 0
     ) -> RunnerSlots | None:
-        """Return the runner at which the call ends first; on ties a local and idle one."""
+        """Return the runner with the lowest cost (see ``_cost``), or None if none may get the call.
+
+        ``queued`` is the number of calls that a runner may get beyond its slots.
+        """
         allowed = [each for each in self._runners.values() if each.name not in request.avoid]
         free = [each for each in allowed if each.can_grant(now, work_s=self._work_s, queued=queued)]
         if not any(self._is_usable(each, now) for each in self._runners.values()):
--- a/lagoonlever/decisions/admission/hedging.py
+++ b/lagoonlever/decisions/admission/hedging.py
@@ -1,6 +1,6 @@
 """Attempts of an idempotent call: which runner to call, when to send a hedge, when to stop.
 
-A hedge is a second attempt sent while the first is still open. It is sent after a delay learnt
+A hedge is a second attempt sent while the first is still open. It is sent after a delay derived
 from the latencies of answers, and is paid for from the retry budgets of the organisation and of
 the runner that it goes to, so that hedges can't multiply an overload.
 """
@@ -181,7 +181,11 @@
             self._budget.on_overload()
 
     def on_unsent(self, runner: str) -> None:
-        """Remove an attempt that was not sent, as its runner accepts no more calls for now."""
+        """Remove an attempt that was not sent, as its runner accepts no more calls for now.
+
+        The runner counts as untried, so it may be chosen again while ``live_names`` returns it.
+        What a hedge or retry took from the retry budgets is not given back.
+        """
         self._open.discard(runner)
         del self._sent_at[runner]
         self._runners.on_unsent(runner)
--- a/lagoonlever/decisions/admission/prompt_admission.py
+++ b/lagoonlever/decisions/admission/prompt_admission.py
@@ -7,9 +7,9 @@
 at once, with a time to retry after, while the share of the engines' time that goes into prefill
 exceeds the share at which a usual answer still ends in time.
 
-In 24 simulated days with engines 1.9 times as slow as usual, 31.9% of streams end in time, against
-14.5% if every prompt is admitted. On randomly drawn deployments it is 66.6% against 63.2%. With
-twelve engines at usual speed nothing is rejected.
+In simulations of 24 days with engines 1.9 times as slow as usual, 31.9% of streams end in time,
+against 14.5% if every prompt is admitted; with randomly drawn installations, 66.6% against
+63.2%. With twelve engines at usual speed nothing is rejected.
 
 The bound follows from measured times. An answer that takes ``decode_s`` of an engine's own time
 takes ``decode_s / (1 - share * (1 - 1 / slowdown))`` while the given share of the engine's time
@@ -25,14 +25,14 @@
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS, gives
 
 WINDOW_S = 8.0
-"""Prefill is counted over this time: it covers some prompts of each engine, and is shorter than
-an answer takes."""
+"""Prefill is counted over this time: each engine receives several prompts within it, and it is
+shorter than an answer takes."""
 MIN_PROMPTS = 20
 """Fewer prompts in the window than this are too small a sample for a prefill share."""
 ANSWER_TIME_SHARE = 0.8
 """Share of the caller's time that a usual answer may take: some lose an engine, or are longer."""
 RETRY_AFTER_RANGE_S = (0.8, 1.6)
-"""The retry time is drawn from this range: by then some prefills have left the window, and the
+"""The retry time is drawn from this range: after it some prefills have left the window, and the
 caller is still within the time in which its first event is due."""
 
 
--- a/lagoonlever/decisions/admission/prompt_queue.py
+++ b/lagoonlever/decisions/admission/prompt_queue.py
@@ -254,6 +254,10 @@
     def _can_start_all_in_time(
         self, ordered: list[QueuedPrompt], now: float, max_per_s: float
     ) -> bool:
+        """Check whether all prompts, started in this order at the usual rate, meet ``start_by``.
+
+        The waits are not reduced by ``WAIT_DISCOUNT``, which applies to rejections only.
+        """
         per_s = self._rate.starts_per_s(now, max_per_s=max_per_s)
         return all(now + n / per_s <= w.request.start_by for n, w in enumerate(ordered))
 
--- a/lagoonlever/decisions/admission/retry_window.py
+++ b/lagoonlever/decisions/admission/retry_window.py
@@ -5,8 +5,8 @@
 window, and a constant number (the slack) beyond it.
 
 For calls, a VM does not know what the others send, so it is held to that ratio of its own requests
-and to its share of the slack. Runs at engines are announced to all VMs, so for these each VM
-counts the retries of the whole fleet.
+and to its share of the slack. Runs at engines are announced to all VMs (in a very large
+fleet, to the hubs, which place the runs), so for these a VM counts the retries of the whole fleet.
 """
 
 from __future__ import annotations
@@ -16,7 +16,11 @@
 import attrs
 
 SAFETY = 0.8
-"""Factor on the allowed retries: the window of a VM and that of the fleet don't start together."""
+"""Factor on the allowed retries.
+
+It leaves a margin, as the window of one VM does not cover exactly the same time as the window over
+which the retries of the whole fleet are counted.
+"""
 
 
 @attrs.define(kw_only=True)
--- a/lagoonlever/decisions/admission/runners.py
+++ b/lagoonlever/decisions/admission/runners.py
@@ -25,7 +25,10 @@
 MAX_AVOID_S = 8.0
 
 FAILURE_WEIGHT = 0.15
-"""Weight of the latest answer in the failure rate: five failures of ten show within ten answers."""
+"""Weight of the latest answer in the failure rate.
+
+If half of a runner's answers fail, its rate is about 0.4 after ten answers.
+"""
 UNHEALTHY_FAILURE_EXCESS = 0.2
 """A runner whose failure rate exceeds the best one's by more than this is unhealthy."""
 UNHEALTHY_SAMPLE_SHARE = 0.1
@@ -113,7 +116,10 @@
             del self._states[name]
 
     def record_restart(self, name: str) -> None:
-        """Discard what was measured of a runner, as a new process has taken over its id."""
+        """Discard what was measured of a runner, as a new process has taken over its id.
+
+        The outstanding calls stay counted: the end of each is still recorded and subtracted.
+        """
         former = self._states.pop(name, None)
         if former is not None:
             self.state(name).outstanding = former.outstanding
@@ -160,7 +166,11 @@
         self.on_loss(name, now=now)
 
     def on_loss(self, name: str, *, now: float) -> None:
-        """Record an attempt given up because another runner was faster, or time was over."""
+        """Record an attempt without an answer: it failed, or was given up.
+
+        When ``STALLED_AFTER_LOSSES`` of them follow each other, the runner counts as stalled and
+        is avoided for ``avoid_s`` seconds.
+        """
         state = self.state(name)
         state.outstanding = max(0, state.outstanding - 1)
         state.losses += 1
