--- a/lagoonlever/decisions/engines/crash_causes.py
+++ b/lagoonlever/decisions/engines/crash_causes.py
@@ -13,9 +13,9 @@
 from lagoonlever.decisions.engines.target_crashes import Crash, CrashesByRequest
 
 BLOCKING_WEIGHT = 3.0
-"""Total weight of crashes from which on a request is blocked.
+"""A request is blocked when its crashes reach this total weight.
 
-One crash under a request is an accident, and two may be one.
+One or two crashes of targets that had the request may be a coincidence.
 """
 EXPLAINED_DISCOUNT = 0.5
 """How much less a crash weighs if a request that was found as a cause was at the target, too.
@@ -23,9 +23,9 @@
 Two causes may have met there: the second one is still found, after one or two more crashes.
 """
 RIVAL_WEIGHT_FACTOR = 0.5
-"""Factor on the weight of a crash that another suspect may have caused as well."""
+"""Factor on the weight of a crash that another request may have caused as well."""
 MIN_SHARED_CRASHES = 2
-"""Number of common crashes from which on either of two suspects may be the cause of them."""
+"""If two requests share at least this many crashes, either may be the cause of them."""
 
 
 def find_causes(crashes: CrashesByRequest) -> frozenset[str]:
@@ -57,7 +57,7 @@
 
 
 def _shared_crashes(candidates: Iterable[str], crashes: CrashesByRequest) -> dict[str, set[str]]:
-    """Return, for each candidate, the crashed processes that another suspect may explain."""
+    """Return, for each candidate, the crashed processes that another request may explain."""
     by_process: dict[str, list[str]] = {}
     for fingerprint, processes in crashes.items():
         for process in processes:
@@ -78,11 +78,11 @@
         if other in checked:
             continue
         checked.add(other)
-        rival = crashes[other]
-        common = own.keys() & rival.keys()
+        others = crashes[other]
+        common = own.keys() & others.keys()
         if len(common) < MIN_SHARED_CRASHES:
             continue
-        explained = {process for process in common if rival[process].may_explain(own[process])}
+        explained = {process for process in common if others[process].may_explain(own[process])}
         if len(explained) >= MIN_SHARED_CRASHES:
             shared |= explained
         if len(shared) == len(own):
@@ -95,8 +95,8 @@
 ) -> float:
     """Return the total weight of the crashes of one request.
 
-    ``explained`` has the processes whose crashes a found cause explains, ``shared`` those that a
-    rival may have caused.
+    ``explained`` has the processes whose crashes a found cause explains, ``shared`` those that
+    another request may have caused.
     """
     return sum(
         _adjusted_weight(crash, is_explained=process in explained, is_shared=process in shared)
--- a/lagoonlever/decisions/engines/crash_suspects.py
+++ b/lagoonlever/decisions/engines/crash_suspects.py
@@ -40,15 +40,18 @@
 T = TypeVar("T")
 
 MIN_STORED_CRASHES = 2
-"""Number of crashes under a request from which on it is written to the store.
+"""A request is written to the store from this number of crashes of targets that had it.
 
-A target that crashes takes all its requests with it, and nearly all of them are served elsewhere,
+A target that crashes loses all its requests, and nearly all of them are served elsewhere,
 so a single crash is not worth a call to the store.
 """
 BLOCK_S = 600.0
-"""Time from the last crash under a request until it may be tried again, as it may be repaired."""
+"""A request may be tried again this long after the last crash of a target that had it.
+
+The fault in the target's software may have been fixed by then.
+"""
 RETENTION_S = 3600.0
-"""Time from the last crash under a request until its crashes are removed.
+"""The crashes of a request are removed this long after the last one.
 
 Until then a single further crash blocks the request again.
 """
--- a/lagoonlever/decisions/engines/engine_scheduler.py
+++ b/lagoonlever/decisions/engines/engine_scheduler.py
@@ -3,11 +3,11 @@
 Prompts of several thousand tokens arrive at many VMs at once. Each VM sees only a few of them, and
 the engines' own load reports are old when they arrive. An engine processes the prefill of one
 prompt after the other, and meanwhile the runs beside it decode at a fraction of their speed. So
-VMs tell each other of each placement, and a run goes to the engine with the least prefill left
-and the fewest runs that it would slow down, if there is memory for its longest answer.
+each VM announces its placements to the others, and a run goes to the engine with the least prefill
+left and the fewest runs that it would slow down, if there is memory for its longest answer.
 
 After an engine is lost several VMs choose within the same milliseconds and pick the same engine.
-Each checks its choice again once it has heard of the others, and all but one move.
+Each checks its choice again once the placements of the others have arrived, and all but one move.
 """
 
 from __future__ import annotations
@@ -38,7 +38,9 @@
 from lagoonlever.decisions.targets.load_view import TargetLoads
 
 RESUME_JITTER = 0.3
-"""Random spread of the costs of engines after a loss, in usual prefills.
+"""Random spread of the costs of engines after a loss.
+
+The unit is the time of a usual prefill of the service.
 
 Two VMs that resume streams at the same moment would both choose the least busy engine, and each
 prompt would then wait for the other.
@@ -47,27 +49,30 @@
 """Share of an engine's memory up to which it accepts KV-cache copies.
 
 An engine that is full of runs and copies preempts its newest run, whose prefill is then repeated,
-and has no capacity for the runs of the next crash. In simulation, over 24 days at twelve engines,
-95.1% of streams are on time, against 93.2% with copies wherever they fit and 93.5% at 0.6; the
-prompt tokens of repeated prefills are 342 per stream, against 376 and 388. At seven engines, and
-on slow ones, the result is the same as with copies wherever they fit.
+and has no capacity for the runs of the next crash. In simulations of 24 days with twelve engines,
+95.1% of streams are on time at this share, 93.2% without a limit and 93.5% at a share of 0.6.
+Repeated prefills take 342 prompt tokens per stream, 376 without a limit and 388 at 0.6. With seven
+engines, and with slow ones, the limit makes no difference.
 """
 INITIAL_DECODE_S = 5.0
 """Decode time of a usual answer, until the first answers have ended."""
 GOSSIP_DELAY_S = 0.02
-"""Time after which other VMs' placements of the same moment have arrived; each takes some 2 ms."""
+"""Time after which other VMs' placements of the same moment have arrived.
+
+One takes some 2 ms; the rest is a margin.
+"""
 MIN_MOVE_GAIN = 0.4
-"""What a better engine must save for a run to move, in usual prefills.
+"""Minimum saving for which a run moves to a better engine, in times of a usual prefill.
 
 Leaving an engine costs a new connection, and the part of the prefill that is done.
 """
 UNEVEN_JITTER = 0.4
-"""Random spread of the costs of engines that differ in speed, in usual prefills.
+"""Random spread of the costs of engines that differ in speed, in times of a usual prefill.
 
-All VMs see the same engine as the fastest, and hear of each other's choices too late.
+All VMs see the same engine as the fastest, and receive each other's placements too late.
 """
 MIN_PREFILL_LEFT = 0.1
-"""Share of a prompt that counts as unread until its run gives an event."""
+"""Least share of a prompt that counts as not yet prefilled until its run gives an event."""
 
 
 @attrs.frozen(kw_only=True)
@@ -88,7 +93,7 @@
     data_center: str
     """The data centre of this VM."""
     news_s: float = GOSSIP_DELAY_S
-    """How late this VM may hear of other VMs' placements.
+    """Time in seconds within which this VM receives other VMs' placements.
 
     Placements that are closer in time are ordered by request id, which is the same on every VM.
     """
@@ -145,8 +150,8 @@
 
         ``prefer`` is an engine that has the prompt cached, so its prefill costs nothing there.
         ``add_jitter`` spreads the costs at random, as after a loss many VMs choose before they
-        hear of each other. With ``begins_within_s`` only engines count that have capacity, and
-        whose prefill backlog takes no longer.
+        receive each other's placements. With ``begins_within_s`` only engines count that have
+        capacity, and whose prefill backlog takes no longer.
         """
         usable = [engine for engine in engines if engine.id not in avoid]
         healthy = [engine for engine in usable if not self.avoidance.is_avoided(engine.id, now)]
@@ -313,9 +318,10 @@
         self._records.record_sent(run, now)
 
     def record_reported_run(self, run: EngineRun, now: float) -> None:
-        """Record a run that another VM reports, unless the VM that relays it has told more.
+        """Record a run that another VM reports, unless there is a record of it already.
 
-        The run started before, so it doesn't count as a prompt that engines receive now.
+        An existing record comes from the VM that relays the run, and is more complete. The run
+        started before, so it doesn't count as a prompt that engines receive now.
         """
         if self._records.find(run.request) is None:
             self._records.record_sent(run, now)
@@ -402,7 +408,10 @@
                 record.run = attrs.evolve(run, copy=None)
 
     def expire(self, now: float) -> None:
-        """Remove runs that ended so long ago that nothing of them can be cached any more."""
+        """Remove what has lapsed: ended runs, prefill times, avoidance and timings.
+
+        A run lapses when nothing of it can be cached at its engine any more.
+        """
         self._records.expire(now)
         for engine in [e for e, at in self._last_prefill_at.items() if now - at > self._keep_s]:
             del self._last_prefill_at[engine]
--- a/lagoonlever/decisions/engines/engine_timings.py
+++ b/lagoonlever/decisions/engines/engine_timings.py
@@ -1,14 +1,14 @@
 """Timings of engines in prefill and decode, measured from their runs.
 
-Engines of one deployment take a second for the prefill of a prompt, those of another one two, and
-within a service some take a third longer than others. Placement needs to know how long an engine
-is busy with a prompt, and a stream is refused only if no engine could finish it in time, so neither
-can rest on the figures of one deployment.
-
-Prefills are measured by all VMs, as each tells the others when a run starts and when it gives its
-first event. The time per answer token is measured by the VM that relays the answer, and sent to
-the others with the end of the run. The measurements of a single engine are used while they are
-recent; otherwise, and for an engine without any, the figures of its service are used.
+Engines of one installation take a second for the prefill of a prompt, those of another one two, and
+within a service some take a third longer than others. Placement needs to know how long an engine is
+busy with a prompt, and a stream is refused only if no engine could finish it in time, so neither
+may use fixed figures.
+
+Prefills are measured by all VMs, as each announces to the others when a run starts and when it
+gives its first event. The time per answer token is measured by the VM that relays the answer, and
+sent to the others with the end of the run. The measurements of a single engine are used while they
+are recent; otherwise, and for an engine without any, the figures of its service are used.
 """
 
 from __future__ import annotations
@@ -38,23 +38,24 @@
 MIN_PREFILL_TOKENS = 1000
 """Prefills of fewer tokens are ignored: their time is mostly that of connections and queues."""
 SLOW_ENGINE_RATIO = 1.5
-"""An engine that takes this many times as long as its service counts as slow.
+"""An engine whose time per token is this many times the usual one of its service counts as slow.
 
 Smaller differences don't influence placement: in simulation, using each engine's own figures for
-all engines brought no gain (worth 0.746 and 0.744 on three days each way, where chance moves a day
-by 0.02).
+all engines brought no gain beyond chance (scores of 0.746 and 0.744 over three days each, where
+the score of a day varies by 0.02 by chance).
 """
 STORED_CHANGE_RATIO = 1.3
 """Stored figures are replaced only by ones that differ by more than this ratio.
 
-Engines of one service differ by as much.
+Differences up to this ratio are usual between engines of one service.
 """
 PositiveFloat = Annotated[float, msgspec.Meta(gt=0.0)]
 LOWER_BOUND_SHARE = 0.7
 """Share of the fastest engine's time per token that no engine of the service falls below.
 
-Until the first observation it is a share of the prior, and bounds what is refused in the first
-second after a loss of all VMs, when callers come back with two seconds left.
+Until the first observation the bound is this share of the prior. It limits which streams are
+refused in the first second after all VMs were lost and restarted, when nothing is measured yet and
+callers return with two seconds left.
 """
 
 
@@ -175,7 +176,7 @@
         return self._service(service).prompt_token_s.value
 
     def relative_time(self, service: str, engine: str, now: float) -> float:
-        """Return how many times as long as its service an engine takes, by its own runs.
+        """Return the ratio of an engine's time per token, by its own runs, to its service's.
 
         It is meant for engines that are known to differ in speed, and is 1 for an engine without
         recent runs.
--- a/lagoonlever/decisions/engines/fingerprints.py
+++ b/lagoonlever/decisions/engines/fingerprints.py
@@ -15,7 +15,7 @@
 
 @attrs.frozen(kw_only=True)
 class RequestIdentity:
-    """What a target is asked to do, and for whom, without what differs between retries."""
+    """The parts of a request that are the same in each of its retries."""
 
     host: str
     method: str
--- a/lagoonlever/decisions/engines/recent_timings.py
+++ b/lagoonlever/decisions/engines/recent_timings.py
@@ -50,7 +50,7 @@
         return any(_fresh(samples, now) for samples in (self._prefills, self._decodes))
 
     def relative_time(self, *, prefill_s: float, decode_s: float, now: float) -> float:
-        """Return how many times as long as its service the engine takes, or 0 if unknown.
+        """Return the ratio of the engine's time per token to its service's, or 0 if unknown.
 
         ``prefill_s`` and ``decode_s`` are the service's seconds per prompt and answer token.
         """
--- a/lagoonlever/decisions/engines/uneven_engines.py
+++ b/lagoonlever/decisions/engines/uneven_engines.py
@@ -26,7 +26,7 @@
 
     engine: str
     pace: float
-    """How many times as long as its service it takes."""
+    """Ratio of its time per token to the usual one of its service."""
     slowness: float
     """Present slowdown factor of its machine; 1.0 is usual speed."""
     age_s: float | None
@@ -54,7 +54,7 @@
         return self._loads.reports_slowness(engine) and _own_timings_enabled()
 
     def relative_time(self, service: str, engine: str, now: float) -> float:
-        """Return how many times as long as its service an engine takes."""
+        """Return the ratio of an engine's time per token to the usual one of its service."""
         if not self.uses_own_timings(engine):
             return 1.0
         return self._timings.relative_time(service, engine, now)
