--- a/lagoonlever/decisions/fleet/hub_watch.py
+++ b/lagoonlever/decisions/fleet/hub_watch.py
@@ -1,8 +1,8 @@
 """Detects whether the hubs that a VM announces itself to answer it.
 
-When the hubs of a data centre die or are cut off, the VMs that depended on them hear of no peer
-any more. Each VM then chooses other hubs by itself. No agreement on the hubs is needed, since a
-VM acts as a hub for whichever VMs announce themselves to it.
+When the hubs of a data centre die or are cut off, the VMs that depended on them receive no peer
+states any more. Each VM then chooses other hubs by itself. No agreement on the hubs is needed,
+since a VM acts as a hub for whichever VMs announce themselves to it.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 FAILED_HUB_BACKOFF_S = 3.0
 """How long a hub that did not answer is not chosen again."""
 BLIND_S = 0.6
-"""After this long without a report on a data centre, silence says nothing about its VMs."""
+"""After this long without a report on a data centre, its VMs may be alive without announcements."""
 ISOLATED_S = 1.2
 """After this long without an answer of any hub, this VM counts as isolated."""
 
--- a/lagoonlever/decisions/fleet/peer_table.py
+++ b/lagoonlever/decisions/fleet/peer_table.py
@@ -1,10 +1,10 @@
 """The other gateway VMs (peers) that a VM knows, and which of them callers may be sent to.
 
-There are two sources, and either may be out of date. The register in the store says which VMs
-exist and where their bus listens; it is read once, and an entry outlives its VM until the lease
-expires. The states that VMs announce several times a second, to each other or through hubs, say
-which are alive and accept callers now. A VM that has fallen silent, or is registered but was
-never heard, is dead or cut off. A caller sent there would use up its only retry, so the VM is
+There are two sources, and either may be out of date. The register in the store says which VMs exist
+and where their bus listens; it is read once, and an entry outlives its VM until the lease expires.
+The states that VMs announce several times a second, to each other or through hubs, say which are
+alive and accept callers now. A VM whose announcements have stopped, or that is registered but has
+announced nothing, is dead or cut off. A caller sent there would use up its only retry, so the VM is
 left out within a second or two.
 """
 
@@ -22,18 +22,20 @@
 ANNOUNCE_INTERVAL_S = 0.3
 """The interval at which a VM announces its state."""
 SILENCE_TIMEOUT_S = 1.0
-"""How long a VM may go unheard before it counts as silent: three announcements. One that is lost
-or delayed by a slow event loop does not exclude the VM."""
+"""A VM counts as silent when none of its announcements arrived for this long: three intervals.
+One announcement that is lost or delayed by a slow event loop does not exclude the VM."""
 HUB_SILENCE_TIMEOUT_S = 2.0
-"""How long a VM may go unheard where hubs report which VMs they hear. It leaves the time to find
-another hub, and one announcement interval for each hop."""
+"""The time after which a VM counts as silent where hubs report which VMs announce themselves. It
+leaves the time to find another hub, and one announcement interval for each hop."""
 MAX_BLIND_S = 1.0
 """How much longer the peers of a data centre count as present when no hub reports on it.
 
-Other hubs are found and answer within 2.2 s of a loss; what was known lasts 2.7 s.
+Other hubs are found and answer within 2.2 s of the loss of a hub. The peers count as present for
+2.7 s: ``HUB_SILENCE_TIMEOUT_S`` and this time, less one announcement interval, as the last
+announcement may be that old at the loss.
 """
 DISCOVERY_S = 3.0
-"""How long after its start a VM has heard of every live peer."""
+"""The time after its start within which a VM receives the state of every live peer."""
 INITIAL_FLEET_SIZE = 100
 """The fleet size assumed during ``DISCOVERY_S``. It is above that of the fleets served, and small
 enough that the VM's share of the fleet's retry budget still allows one retry."""
@@ -46,8 +48,8 @@
 MAX_REPEATED_STATES = 3
 """The number of states that one digest repeats at most; a larger fleet takes more rounds.
 
-With a tenth of a hundred VMs in each digest, at 200 bytes a state, the digests of 300 VMs took
-45 KB a second of each VM's link.
+Where a hundred VMs announce themselves to a hub and each digest repeats a tenth of them, at 200
+bytes a state, the digests in a fleet of 300 VMs took 45 KB a second of each VM's link.
 """
 FORGET_AFTER_S = 30.0
 """How long a silent VM stays in the table. This is longer than any lease, so that the register
@@ -67,7 +69,7 @@
     takes_callers: bool = True
     leaving: bool = False
     configuration: int = 0
-    """The version of the configuration in force there; 0 for none."""
+    """The version of the configuration in force at that VM; 0 for none."""
     list_revision: Revision = NOWHERE
     """The store's revision of its list of targets."""
     store_away: bool = False
@@ -92,10 +94,10 @@
 
 
 def repeats_in_round(number: int, *, speakers: int, in_round: int) -> bool:
-    """Check whether a hub's digest of round ``in_round`` repeats the state of VM ``number``.
+    """Check whether a hub's digest of round number ``in_round`` repeats the state of one VM.
 
     ``speakers`` is the number of VMs that announce themselves to the hub, ``number`` the index
-    of one of them.
+    of the VM among them.
     """
     rounds = max(REPEAT_ROUNDS, math.ceil(speakers / MAX_REPEATED_STATES))
     return (number + in_round) % rounds == 0
@@ -107,9 +109,9 @@
 
     state: PeerState
     known_at: float
-    """When it was last heard, or first read from the register."""
+    """When its last announcement arrived, or when it was first read from the register."""
     heard: bool = False
-    """Whether it was heard, directly or through a hub, and not only registered."""
+    """Whether an announcement of it arrived, directly or through a hub; else only registered."""
 
 
 @attrs.define(kw_only=True)
@@ -119,17 +121,17 @@
     _own: Incarnation
     silent_s: float = SILENCE_TIMEOUT_S
     started_at: float = float("-inf")
-    """When this VM began to listen."""
+    """When this VM began to receive announcements."""
     blind_since: Mapping[str, float] = attrs.field(factory=dict)
-    """The data centres that no hub reports on, and since when: peers that are not heard there
-    need not be dead."""
+    """The data centres that no hub reports on, and since when: peers there may be alive though
+    no announcement of theirs arrives."""
     _peers: dict[str, _Peer] = attrs.field(factory=dict)
     _names: dict[int, str] = attrs.field(factory=dict)
     """Names by the nonce of the incarnation, which is how digests refer to VMs."""
 
     @property
     def states(self) -> tuple[PeerState, ...]:
-        """The known states of all peers, heard or registered."""
+        """The known states of all peers, whether announced or only registered."""
         return tuple(peer.state for peer in self._peers.values())
 
     def max_fleet_size(self, now: float) -> int:
@@ -165,7 +167,10 @@
         return known is None or known.state.life != state.life or not known.heard
 
     def record_digest(self, nonces: Iterable[int], now: float) -> bool:
-        """Record which incarnations a hub hears; return whether all of them are known here."""
+        """Record which incarnations a hub receives announcements of.
+
+        Return whether all of them are known here.
+        """
         all_known = True
         for nonce in nonces:
             peer = self._peers.get(self._names.get(nonce, ""))
@@ -216,10 +221,10 @@
         return state.life < known.state.life and not self._is_silent(known, now)
 
     def _is_silent(self, peer: _Peer, now: float) -> bool:
-        """Check whether a peer was not heard for ``silent_s``.
+        """Check whether no announcement of a peer arrived for ``silent_s``.
 
         Where no hub reports on its data centre, the limit is up to ``MAX_BLIND_S`` longer: the
-        silence then comes from the hubs, and the peer itself may be alive.
+        hubs have then failed, and the peer itself may be alive.
         """
         blind_since = self.blind_since.get(peer.state.data_center)
         if blind_since is not None:
--- a/lagoonlever/decisions/fleet/planned_stop.py
+++ b/lagoonlever/decisions/fleet/planned_stop.py
@@ -1,4 +1,4 @@
-"""When a VM that was told to stop may end its process: no open work, and no caller to come.
+"""When a VM that received a stop signal may end its process: no open work, no caller to arrive.
 
 Callers keep an address for its lifetime, so a VM that is leaving goes on accepting requests for
 that long. A second stop signal has no effect: it must not interrupt the work that the first one
--- a/lagoonlever/decisions/fleet/queue_coordinators.py
+++ b/lagoonlever/decisions/fleet/queue_coordinators.py
@@ -2,8 +2,8 @@
 
 Prompts of different priority arrive at hundreds of VMs, each of which sees one only every few
 seconds. To order all of them, one VM has to hold the queue. Each VM computes by itself which one
-that is, among those that hear of all runs: any VM of a fleet that sends run updates directly,
-a hub of a larger one. Different services have different coordinators.
+that is, among those that receive the updates of all runs: any VM of a fleet that sends run updates
+directly, a hub of a larger one. Different services have different coordinators.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from lagoonlever.decisions.fleet.update_routing import sends_directly
 
 MAX_COORDINATORS_ASKED = 2
-"""The number of VMs that are asked before a prompt is placed without the queue: the coordinator,
+"""The number of VMs that are queried before a prompt is placed without the queue: the coordinator,
 and the VM that succeeds it."""
 
 
@@ -34,4 +34,6 @@
         staying &= {*roles.hubs, *roles.other_hubs}
     if not leaving and (roles.is_hub or sends_directly(len(peers))):
         staying.add(own)
+    # All VMs have to hash the same text: a change of it changes the coordinator, and two versions
+    # of this program that run in one fleet would choose different ones.
     return tuple(rank_by_hash(staying, purpose=f"line {service}"))
--- a/lagoonlever/decisions/fleet/roles.py
+++ b/lagoonlever/decisions/fleet/roles.py
@@ -4,15 +4,16 @@
 announced its state to every other, three times a second, the messages would grow with the square
 of the fleet. At 69 VMs that was 5,000 calls, and 7 of the machine's CPU cores.
 
-Therefore a few VMs of each data centre (readers) read the store and push changes to the others.
-Up to a dozen VMs announce themselves to each other directly (a mesh). In a larger fleet each VM
-announces itself to the hubs of its data centre, and the hubs report which VMs they hear. Each VM
+Therefore a few VMs of each data centre (readers) read the store and push changes to the others. Up
+to a dozen VMs announce themselves to each other directly (a mesh). In a larger fleet each VM
+announces itself to the hubs of its data centre, and the hubs report which VMs these are. Each VM
 computes the roles from its own view, with the same result while views agree. A difference is
-harmless: some VM more or less reads, and a VM that hears of no reader reads the store itself.
+harmless: some VM more or less reads, and a VM that receives nothing from any reader reads the store
+itself.
 
 The VMs with the fastest links get the roles first. A reader or a hub sends each message to the
 whole fleet, some 2 Mbit/s in bursts at 69 VMs, which fills a link of 10 Mbit/s. Such a VM then
-answers its own callers late, and takes engines that it cannot reach for lost.
+answers its own callers late, and considers engines lost that it merely cannot reach.
 """
 
 from __future__ import annotations
@@ -33,8 +34,8 @@
 """The number of readers in the whole fleet: one may be cut off from the store, and another one
 from the other VMs."""
 MIN_OUTAGE_VMS = 3
-"""The number of VMs of a data centre without access to the store from which on an outage of the
-store is assumed, and no further VM tries to read it.
+"""When this many VMs of a data centre have no access to the store, an outage of the store is
+assumed, and no further VM tries to read it.
 
 The store may refuse a third of all VMs and serve the others. A limit of three in the whole fleet
 was reached when all its readers were refused: no other VM tried, and changes were missed for 8 s.
@@ -64,8 +65,9 @@
 ) -> Roles:
     """Compute the roles of this VM; ``peers`` are the VMs that are not silent.
 
-    ``failed`` names hubs that did not answer this VM. An ``isolated`` VM has heard from no hub
-    of late, so it cannot rely on any reader's changes to reach it and reads the store itself.
+    ``failed`` names hubs that did not answer this VM. An ``isolated`` VM has had no answer from any
+    hub for ``ISOLATED_S`` (see ``hub_watch``), so it cannot rely on any reader's changes to reach
+    it and reads the store itself.
     """
     present = [own, *(peer for peer in peers if not peer.leaving)]
     by_data_center: dict[str, list[PeerState]] = {}
--- a/lagoonlever/decisions/fleet/update_routing.py
+++ b/lagoonlever/decisions/fleet/update_routing.py
@@ -18,8 +18,8 @@
 MAX_DIRECT_VMS = 120
 """Up to this many other VMs, each VM sends updates to all of them itself.
 
-Hubs add a hop, and an update that arrives late leads to worse placements: on 69 VMs, hubs caused
-24,000 prompt tokens to be prefilled in vain, direct updates 3,000.
+Hubs add a hop, and an update that arrives late leads to worse placements: at 69 VMs, prefills
+were repeated for 24,000 prompt tokens with hubs, and for 3,000 with direct updates.
 """
 
 
@@ -62,9 +62,9 @@
 def placement_hubs(roles: Roles | None, *, own: str, present: int) -> tuple[str, ...]:
     """Return the hubs that place this VM's runs, nearest first; none if it places them itself.
 
-    Up to ``MAX_DIRECT_VMS`` other VMs, every VM hears of all runs and can place its own. In a
-    larger fleet only the hubs do: sending each run to every VM took more of a VM's time than its
-    own callers did.
+    Up to ``MAX_DIRECT_VMS`` other VMs, every VM receives the updates of all runs and can place its
+    own. In a larger fleet only the hubs do: sending each run to every VM took more of a VM's time
+    than its own callers did.
     """
     if roles is None or sends_directly(present) or roles.is_hub:
         return ()
@@ -77,7 +77,7 @@
     *,
     data_center_of: Callable[[str], str | None],
 ) -> frozenset[str]:
-    """Return the VMs that are to be told of lost engines at once.
+    """Return the VMs to which the loss of engines is announced at once.
 
     These are the VMs with a run in the data centre of a lost engine, as its engines often fail
     together, and those with a run whose KV-cache copy is there, as it has to be copied again.
