--- a/lagoonlever/decisions/membership/prober.py
+++ b/lagoonlever/decisions/membership/prober.py
@@ -184,7 +184,7 @@
         return spread_over_data_centers(candidates)[: self._settings.helpers]
 
     def _end_probes(self, now: float) -> None:
-        """Suspect the members whose probes failed, and tell each that it is suspected."""
+        """Suspect the members whose probes failed, and send each the suspicion."""
         for probe in self._registry.take_ended_probes(now):
             if probe.own_fault_likely:
                 self._roster.health.record_own_fault()
@@ -196,7 +196,7 @@
             self._outbox.send(target.peers, gossip, expected=target.incarnation)
 
     def _end_relays(self, now: float) -> None:
-        """Tell the requesters of relays that timed out that their target did not answer."""
+        """Send a nack to the requesters of relays whose target did not answer in time."""
         for relay in self._registry.take_ended_relays(now):
             nack = Nack(sequence=relay.sequence)
             self._outbox.send(relay.requester_address, nack, expected=relay.requester)
--- a/lagoonlever/decisions/membership/roster.py
+++ b/lagoonlever/decisions/membership/roster.py
@@ -231,7 +231,7 @@
         """Add an incarnation that was not known before; ``former`` is the one it replaces.
 
         A dead incarnation of an unknown name is not added. Each VM expires its dead members at
-        a time of its own, so VMs would otherwise learn them from one another again for ever.
+        a time of its own, so VMs would otherwise send them back and forth forever.
         """
         if former is None and update.status is Status.DEAD:
             return
--- a/lagoonlever/decisions/membership/table.py
+++ b/lagoonlever/decisions/membership/table.py
@@ -2,7 +2,7 @@
 
 The newest incarnation of a name wins. Within an incarnation ``leaving`` is never cleared, and
 the highest (version, status) wins, where only the member itself raises its version. So late,
-repeated and reordered messages do no harm.
+repeated and reordered messages don't change the result.
 """
 
 from __future__ import annotations
@@ -119,7 +119,7 @@
         )
 
     def merge(self, update: MemberUpdate, now: float) -> bool:
-        """Merge an entry of the same incarnation; return whether peers must be told a change.
+        """Merge an entry of the same incarnation; return whether peers are to receive a change.
 
         A load alone is not such a change.
         """
@@ -127,7 +127,7 @@
         return self.merge_verdict(update.verdict, now)
 
     def merge_verdict(self, verdict: Verdict, now: float) -> bool:
-        """Merge a verdict on the same incarnation; return whether peers must be told a change."""
+        """Merge a verdict on the same incarnation; return whether peers are to receive a change."""
         changed = False
         if verdict.leaving and not self.leaving:
             self.set_leaving()
@@ -157,14 +157,14 @@
         self._digest = None
 
     def _status_to_take(self, verdict: Verdict) -> Status:
-        """Return the status of a verdict, but a suspicion for the death of an alive member.
+        """Return the status to adopt: the verdict's, or suspect where it calls an alive member dead.
 
-        Guards against false deaths after a network partition: when it heals, each side is told
-        that its own members are dead, and would drop them all at once. As suspects they have
-        time to refute it. A member that left has nothing to refute, so its death is final.
+        Guards against false deaths after a network partition: when it heals, each side receives
+        verdicts that its own members are dead, and would drop them all at once. As suspects they
+        have time to refute it. A member that left has nothing to refute, so its death is final.
         """
-        without_suspicion = verdict.status is Status.DEAD and self.status is Status.ALIVE
-        return Status.SUSPECT if without_suspicion and not verdict.leaving else verdict.status
+        skips_suspicion = verdict.status is Status.DEAD and self.status is Status.ALIVE
+        return Status.SUSPECT if skips_suspicion and not verdict.leaving else verdict.status
 
     def _merge_load(self, update: MemberUpdate, now: float) -> None:
         """Adopt the load of an update if it was reported later than the known one."""
