--- a/lagoonlever/decisions/membership/table.py
+++ b/lagoonlever/decisions/membership/table.py
@@ -157,7 +157,7 @@
         self._digest = None
 
     def _status_to_take(self, verdict: Verdict) -> Status:
-        """Return the status to adopt: the verdict's, or suspect where it calls an alive member dead.
+        """Return the status to adopt: an alive member that a verdict calls dead becomes suspect.
 
         Guards against false deaths after a network partition: when it heals, each side receives
         verdicts that its own members are dead, and would drop them all at once. As suspects they
