--- a/lagoonlever/bench/rollout_model.py
+++ b/lagoonlever/bench/rollout_model.py
@@ -9,9 +9,9 @@
 
 import attrs
 
-from lagoonlever.decisions.rollouts.book import Lane, RolloutBook, VmCounts
 from lagoonlever.decisions.rollouts.evidence import AnswerCounts
-from lagoonlever.decisions.rollouts.plan import ExposureBounds, Plan, TrialProgress, plan_of
+from lagoonlever.decisions.rollouts.plan import ExposureBounds, Plan, TrialProgress, plan_rollout
+from lagoonlever.decisions.rollouts.totals import Lane, RolloutTotals, VmCounts
 from lagoonlever.decisions.rollouts.versions import RolloutOrder, RolloutPhase, RolloutState
 
 TICK_S = 0.1
@@ -87,7 +87,7 @@
     _exposed: int = 0
     _exposed_in_time: int = 0
     _lanes: dict[Lane, AnswerCounts] = attrs.field(factory=dict)
-    _book: RolloutBook = attrs.field(factory=RolloutBook)
+    _book: RolloutTotals = attrs.field(factory=RolloutTotals)
     _underway: deque[_Answer] = attrs.field(factory=deque)
     _bad_at: list[float] = attrs.field(factory=list)
     _last_sent_new: float = 0.0
@@ -102,7 +102,7 @@
         while now < case.duration_s + AFTER_S:
             if now - told >= case.word_s and not self._plan.state.is_final:
                 told = now
-                self._plan = plan_of(order, self._progress(now), self._bounds)
+                self._plan = plan_rollout(order, self._progress(now), self._bounds)
                 self._decided_s = now if self._plan.state.is_final else 0.0
             for kind in self._arriving():
                 self._arrive(kind, now)
@@ -130,7 +130,7 @@
         told = VmCounts(
             lanes=dict(self._lanes), arrivals=dict(self._arrivals), exposed=self._exposed
         )
-        self._book.take("all", told, elapsed_s=now)
+        self._book.record_vm_counts("all", told, elapsed_s=now)
         return self._book.progress(elapsed_s=now, is_moving=self._plan.phase is RolloutPhase.MOVING)
 
     def _arriving(self) -> Iterator[str]:
--- a/lagoonlever/decisions/rollouts/evidence.py
+++ b/lagoonlever/decisions/rollouts/evidence.py
@@ -80,7 +80,7 @@
                 return number
         return None
 
-    def bad(self, median: int | None) -> int:
+    def count_bad(self, median: int | None) -> int:
         """Give how many failed, or took far longer than a median."""
         if median is None:
             return self.failed
@@ -88,13 +88,13 @@
 
 
 @attrs.frozen(kw_only=True)
-class Seconds:
+class AnswersBySecond:
     """Answers of one kind of request by one version, by the second in which they were known."""
 
     counts: Mapping[int, AnswerCounts] = attrs.field(factory=dict)
 
     @property
-    def together(self) -> AnswerCounts:
+    def total(self) -> AnswerCounts:
         """The counts of all seconds."""
         total = AnswerCounts()
         for counts in self.counts.values():
@@ -106,51 +106,51 @@
 class Judgement:
     """What the answers say: logarithms of how much likelier they are of a bad version."""
 
-    together: float
-    worst: float
+    total_log_ratio: float
+    worst_log_ratio: float
     """Of the kind of request that speaks most against it."""
 
     @property
     def is_bad(self) -> bool:
         """Whether the test is sure that the version is bad."""
         bad_from = math.log((1 - CALLED_SOUND_WRONGLY) / CALLED_BAD_WRONGLY)
-        return max(self.together, self.worst) >= bad_from
+        return max(self.total_log_ratio, self.worst_log_ratio) >= bad_from
 
     @property
     def is_sound(self) -> bool:
         """Whether the test is sure that it is sound, and no kind of request leans to bad."""
         sound_from = math.log(CALLED_SOUND_WRONGLY / (1 - CALLED_BAD_WRONGLY))
-        return self.together <= sound_from and self.worst < 0.0
+        return self.total_log_ratio <= sound_from and self.worst_log_ratio < 0.0
 
     @property
-    def leans_sound(self) -> bool:
+    def is_likely_sound(self) -> bool:
         """Whether it is likely to be sound."""
-        return self.together <= -LEANS and self.worst < LEANS / 2
+        return self.total_log_ratio <= -LEANS and self.worst_log_ratio < LEANS / 2
 
 
-NO_EVIDENCE = Judgement(together=0.0, worst=0.0)
+NO_EVIDENCE = Judgement(total_log_ratio=0.0, worst_log_ratio=0.0)
 
 
-def ratio_of(new: Seconds, old: Seconds) -> float:
+def log_likelihood_ratio(new: AnswersBySecond, old: AnswersBySecond) -> float:
     """Give the logarithm of how much likelier one kind's answers are of a bad version."""
-    all_old = old.together
+    all_old = old.total
     median = all_old.median_class()
-    usual = (all_old.bad(median) + 0.5) / (all_old.total + 10.0)
+    usual = (all_old.count_bad(median) + 0.5) / (all_old.total + 10.0)
     ratio = 0.0
     for second, answers in new.counts.items():
         beside = old.counts.get(second, AnswerCounts())
-        bad_beside = beside.bad(median) + WEIGHT_OF_ALL * usual
+        bad_beside = beside.count_bad(median) + WEIGHT_OF_ALL * usual
         sound = max(LEAST_BAD, bad_beside / (beside.total + WEIGHT_OF_ALL))
         worse = min(MOST_BAD, sound + WORSE_BY)
-        bad = answers.bad(median)
+        bad = answers.count_bad(median)
         ratio += bad * math.log(worse / sound)
         ratio += (answers.total - bad) * math.log((1 - worse) / (1 - sound))
     return ratio
 
 
-def judge(kinds: Iterable[tuple[Seconds, Seconds]]) -> Judgement:
+def judge(kinds: Iterable[tuple[AnswersBySecond, AnswersBySecond]]) -> Judgement:
     """Judge a version by pairs of its answers and the old one's, one of each kind of request."""
-    ratios = [ratio_of(new, old) for new, old in kinds if new.counts]
+    ratios = [log_likelihood_ratio(new, old) for new, old in kinds if new.counts]
     if not ratios:
         return NO_EVIDENCE
-    return Judgement(together=sum(ratios), worst=max(ratios))
+    return Judgement(total_log_ratio=sum(ratios), worst_log_ratio=max(ratios))
--- a/lagoonlever/decisions/rollouts/book.py
+++ b/lagoonlever/decisions/rollouts/totals.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from lagoonlever.decisions.rollouts.evidence import AnswerCounts, Judgement, Seconds, judge
+from lagoonlever.decisions.rollouts.evidence import AnswerCounts, AnswersBySecond, Judgement, judge
 from lagoonlever.decisions.rollouts.plan import TrialProgress
 from lagoonlever.decisions.rollouts.versions import RolloutPhase
 
@@ -22,13 +22,13 @@
 
 
 @attrs.define(kw_only=True)
-class RolloutBook:
+class RolloutTotals:
     """Counts are since the order; a VM that has restarted is another life, and counts anew."""
 
     _vms: dict[str, VmCounts] = attrs.field(factory=dict)
     _seconds: dict[Lane, dict[int, AnswerCounts]] = attrs.field(factory=dict)
 
-    def take(self, life: str, counts: VmCounts, *, elapsed_s: float) -> None:
+    def record_vm_counts(self, life: str, counts: VmCounts, *, elapsed_s: float) -> None:
         """Take a VM's counts; one that is older than what is known changes nothing."""
         known = self._vms.get(life, VmCounts())
         if sum(counts.arrivals.values()) < sum(known.arrivals.values()):
@@ -54,12 +54,12 @@
             arrivals=arrivals,
             exposed=sum(counts.exposed for counts in self._vms.values()),
             judgement=self._judge(RolloutPhase.TRIAL, RolloutPhase.MOVING),
-            moved=self._judge(RolloutPhase.MOVING),
+            judgement_since_move=self._judge(RolloutPhase.MOVING),
             is_moving=is_moving,
         )
 
     @property
-    def other_answers(self) -> int:
+    def other_version_answers(self) -> int:
         """How many good answers of targets of other versions have become known.
 
         A failure may be that of a connection, and tells of no target that it is there.
@@ -77,12 +77,12 @@
             (self._together(kind, *phases), self._together(kind, None)) for kind in sorted(kinds)
         )
 
-    def _together(self, kind: str, *phases: RolloutPhase | None) -> Seconds:
+    def _together(self, kind: str, *phases: RolloutPhase | None) -> AnswersBySecond:
         together: dict[int, AnswerCounts] = {}
         for phase in phases:
             for second, counts in self._seconds.get((kind, phase), {}).items():
                 together[second] = together.get(second, AnswerCounts()).plus(counts)
-        return Seconds(counts=together)
+        return AnswersBySecond(counts=together)
 
 
 def _minus(total: AnswerCounts, known: AnswerCounts) -> AnswerCounts | None:
--- a/lagoonlever/decisions/rollouts/versions.py
+++ b/lagoonlever/decisions/rollouts/versions.py
@@ -63,7 +63,7 @@
         """Whether no other version was there since the order: nothing is to be moved."""
         return self.order is not None and not self._beside
 
-    def note(self, listed: set[str]) -> None:
+    def update_known_versions(self, listed: set[str]) -> None:
         """Take the versions that are listed; those of the first sight were there before.
 
         One that comes later was started for an order that this VM may not know yet.
@@ -73,12 +73,12 @@
             if self.order is not None and len(listed) > 1:
                 self._known.discard(self.order.version)
 
-    def saw(self, version: str) -> None:
+    def record_listed(self, version: str) -> None:
         """Note that a target of a version is listed."""
         if self.order is not None and version != self.order.version:
             self._beside.add(version)
 
-    def ordered(self, order: RolloutOrder, listed: set[str]) -> None:
+    def apply_order(self, order: RolloutOrder, listed: set[str]) -> None:
         """Take an order; it is undecided until its status tells."""
         if self.order is not None and self.state is RolloutState.COMPLETED:
             self._known = {self.order.version}
@@ -87,7 +87,7 @@
         self._known.discard(order.version)
         self._beside = listed - {order.version}
 
-    def decided(self, state: RolloutState) -> None:
+    def apply_state(self, state: RolloutState) -> None:
         """Take the status of the order; a final one never changes."""
         if self.state.is_final:
             return
@@ -99,7 +99,7 @@
         """Tell whether a version was there first, and no order has touched the service."""
         return self.order is None and version in self._known
 
-    def settled(self, listed: set[str]) -> frozenset[str]:
+    def ordinary_versions(self, listed: set[str]) -> frozenset[str]:
         """Give the versions that ordinary new work goes to, of those with targets that take work.
 
         A service is not left without targets for want of a word: where only a version is
@@ -112,7 +112,7 @@
             return frozenset(listed)
         return frozenset(listed - {self._rolled_back})
 
-    def on_trial(self, listed: set[str]) -> frozenset[str]:
+    def trial_versions(self, listed: set[str]) -> frozenset[str]:
         """Give the version that chosen requests go to now, if any."""
         if self.order is None or self.state.is_final or self.phase is not RolloutPhase.TRIAL:
             return frozenset()
--- a/lagoonlever/gateway/rollout_lead.py
+++ b/lagoonlever/gateway/rollout_lead.py
@@ -11,16 +11,16 @@
 import trio
 
 from lagoonlever.decisions.fleet.roles import Roles
-from lagoonlever.decisions.rollouts.book import RolloutBook, VmCounts
 from lagoonlever.decisions.rollouts.plan import (
     ExposureBounds,
     OtherVersions,
     Plan,
     TrialProgress,
-    plan_of,
-    plan_untried,
-    plan_unwitnessed,
+    plan_rollout,
+    plan_sole_version,
+    plan_without_counts,
 )
+from lagoonlever.decisions.rollouts.totals import RolloutTotals, VmCounts
 from lagoonlever.decisions.rollouts.versions import RolloutPhase, RolloutState
 from lagoonlever.exceptions import PlatformError
 from lagoonlever.gateway import events
@@ -57,7 +57,7 @@
     rollout: Rollout
     record: StoreRecord
     since: float
-    book: RolloutBook = attrs.field(factory=RolloutBook)
+    book: RolloutTotals = attrs.field(factory=RolloutTotals)
     verdict: Plan | None = None
     """What was to be written. It holds: operators may have seen it, though its answer was lost."""
     written: RolloutState | None = None
@@ -102,7 +102,7 @@
         elapsed_s = self._timers.now - (rollout.began_at or self._timers.now)
         lanes = {(row.kind, row.phase): row.counts for row in counts.rows}
         told = VmCounts(lanes=lanes, arrivals=counts.arrivals, exposed=counts.exposed)
-        self._lead_of(rollout).book.take(life, told, elapsed_s=elapsed_s)
+        self._lead_of(rollout).book.record_vm_counts(life, told, elapsed_s=elapsed_s)
 
     def _lead_of(self, rollout: Rollout) -> _Lead:
         service = rollout.order.service
@@ -151,12 +151,12 @@
     def _plan(self, lead: _Lead) -> Plan:
         rollout = lead.rollout
         if rollout.began_at is None:
-            return plan_unwitnessed(self._others(lead))
+            return plan_without_counts(self._others(lead))
         if self._beliefs.targets.versions_of(rollout.order.service).is_alone:
             elapsed_s = self._timers.now - rollout.began_at
-            return plan_untried(rollout.order, elapsed_s, self._others(lead))
+            return plan_sole_version(rollout.order, elapsed_s, self._others(lead))
         progress = attrs.evolve(self._progress(lead), others=self._others(lead))
-        return plan_of(rollout.order, progress, self._bounds)
+        return plan_rollout(rollout.order, progress, self._bounds)
 
     def _others(self, lead: _Lead) -> OtherVersions:
         """Give what is known of the targets that would serve in place of the new ones."""
@@ -164,7 +164,7 @@
         listed = targets.listed_versions(order.service)
         return OtherVersions(
             listed=any(version != order.version for version in listed),
-            answered=lead.book.other_answers > 0,
+            answered=lead.book.other_version_answers > 0,
             is_settled=self._timers.now >= targets.settled_at,
         )
 
@@ -273,10 +273,10 @@
             reason=plan.reason or "its answers are as good as the old version's",
             exposed=progress.exposed,
             arrivals=sum(progress.arrivals.values()),
-            ratio=round(progress.judgement.together, 2),
-            worst=round(progress.judgement.worst, 2),
-            moved=round(progress.moved.together, 2),
+            ratio=round(progress.judgement.total_log_ratio, 2),
+            worst=round(progress.judgement.worst_log_ratio, 2),
+            moved=round(progress.judgement_since_move.total_log_ratio, 2),
             listed=dict(targets.listed_versions(service)),
-            answers=lead.book.other_answers,
+            answers=lead.book.other_version_answers,
             settles_s=round(max(0.0, targets.settled_at - self._timers.now), 2),
         )
--- a/lagoonlever/gateway/rollouts.py
+++ b/lagoonlever/gateway/rollouts.py
@@ -12,7 +12,7 @@
 import attrs
 import logbook
 
-from lagoonlever.decisions.rollouts.book import Lane
+from lagoonlever.decisions.rollouts.totals import Lane
 from lagoonlever.decisions.rollouts.versions import RolloutOrder, RolloutPhase, RolloutState
 from lagoonlever.decisions.targets.listed_target import ListedTarget
 from lagoonlever.gateway import events
@@ -172,7 +172,7 @@
         versions = self._beliefs.targets.versions_of(rollout.order.service)
         if not state.is_final or versions.state.is_final or versions.order != rollout.order:
             return
-        versions.decided(state)
+        versions.apply_state(state)
         events.ROLLOUT_DECIDED.log(
             log,
             service=rollout.order.service,
--- a/lagoonlever/tests/rollout_plan_tests.py
+++ b/lagoonlever/tests/rollout_plan_tests.py
@@ -9,17 +9,17 @@
 from hypothesis import strategies as st
 
 from lagoonlever.bench.rollout_model import STOPS_AFTER_S, Conduct, RolloutCase, RolloutModel
-from lagoonlever.decisions.rollouts import book as rollout_book
 from lagoonlever.decisions.rollouts import plan as rollout_plan
-from lagoonlever.decisions.rollouts.book import RolloutBook, VmCounts
+from lagoonlever.decisions.rollouts import totals as rollout_book
 from lagoonlever.decisions.rollouts.evidence import (
     NO_EVIDENCE,
     AnswerCounts,
+    AnswersBySecond,
     Judgement,
-    Seconds,
     judge,
 )
-from lagoonlever.decisions.rollouts.plan import ExposureBounds, TrialProgress, plan_of
+from lagoonlever.decisions.rollouts.plan import ExposureBounds, TrialProgress, plan_rollout
+from lagoonlever.decisions.rollouts.totals import RolloutTotals, VmCounts
 from lagoonlever.decisions.rollouts.versions import (
     RolloutOrder,
     RolloutPhase,
@@ -31,8 +31,8 @@
 
 ORDER = RolloutOrder(service="apps", version="v2", duration_s=12.0)
 BOUNDS = ExposureBounds()
-SOUND = Judgement(together=-9.0, worst=-3.0)
-BAD = Judgement(together=9.0, worst=9.0)
+SOUND = Judgement(total_log_ratio=-9.0, worst_log_ratio=-3.0)
+BAD = Judgement(total_log_ratio=9.0, worst_log_ratio=9.0)
 
 
 def progress(elapsed_s: float, **more: object) -> TrialProgress:
@@ -48,28 +48,28 @@
 
 
 def test_failures_beside_none_tell_a_bad_version_within_a_dozen_answers() -> None:
-    old = Seconds(counts={0: counts(60, 1)})
-    assert judge([(Seconds(counts={0: counts(8, 4)}), old)]).is_bad
+    old = AnswersBySecond(counts={0: counts(60, 1)})
+    assert judge([(AnswersBySecond(counts={0: counts(8, 4)}), old)]).is_bad
 
 
 def test_failures_that_the_old_version_has_too_say_nothing() -> None:
     """A data centre's engines end in one second: both versions lose a third of their answers."""
-    old = Seconds(counts={0: counts(60), 1: counts(20, 12), 2: counts(60)})
-    new = Seconds(counts={0: counts(10), 1: counts(4, 3), 2: counts(30)})
+    old = AnswersBySecond(counts={0: counts(60), 1: counts(20, 12), 2: counts(60)})
+    new = AnswersBySecond(counts={0: counts(10), 1: counts(4, 3), 2: counts(30)})
     assert not judge([(new, old)]).is_bad
-    assert judge([(new, old)]).leans_sound
+    assert judge([(new, old)]).is_likely_sound
 
 
 def test_answers_that_take_four_times_as_long_tell_a_bad_version() -> None:
-    old = Seconds(counts={0: counts(60)})
+    old = AnswersBySecond(counts={0: counts(60)})
     slow = counts(8).plus(counts(6, seconds=0.2))
-    assert judge([(Seconds(counts={0: slow}), old)]).is_bad
+    assert judge([(AnswersBySecond(counts={0: slow}), old)]).is_bad
 
 
 def test_a_version_that_fails_on_one_route_only_is_told_from_a_sound_one() -> None:
-    old = Seconds(counts={0: counts(60)})
-    often = (Seconds(counts={0: counts(60)}), old)
-    rare = (Seconds(counts={0: counts(2, 3)}), old)
+    old = AnswersBySecond(counts={0: counts(60)})
+    often = (AnswersBySecond(counts={0: counts(60)}), old)
+    rare = (AnswersBySecond(counts={0: counts(2, 3)}), old)
     assert not judge([often, rare]).is_sound
 
 
@@ -78,9 +78,9 @@
     told = [
         VmCounts(lanes={lane: counts(n)}, arrivals={"bid": 10 * n}, exposed=n) for n in range(1, 5)
     ]
-    book = RolloutBook()
+    book = RolloutTotals()
     for number in (0, 2, 2, 1, 3, 0):
-        book.take("vm-0", told[number], elapsed_s=1.0)
+        book.record_vm_counts("vm-0", told[number], elapsed_s=1.0)
     seen = book.progress(elapsed_s=2.0, is_moving=False)
     assert (seen.arrivals, seen.exposed) == ({"bid": 40}, 4)
     assert sum(c.total for c in book._seconds[lane].values()) == 4
@@ -88,12 +88,12 @@
 
 def test_only_good_answers_tell_that_targets_of_other_versions_are_there() -> None:
     """Guards against resets of dead targets' connections that are taken for a sign of life."""
-    book = RolloutBook()
+    book = RolloutTotals()
     for good in (0, 1):
         lanes = {("bid", None): counts(good, failed=3), ("bid", RolloutPhase.TRIAL): counts(4)}
         told = VmCounts(lanes=lanes, arrivals={"bid": 7 + good})
-        book.take("vm-0", told, elapsed_s=1.0)
-        assert book.other_answers == good
+        book.record_vm_counts("vm-0", told, elapsed_s=1.0)
+        assert book.other_version_answers == good
 
 
 def test_a_vm_that_begins_to_lead_is_told_what_was_counted_before() -> None:
@@ -107,13 +107,13 @@
 
 
 def test_a_bad_version_is_rolled_back_at_once() -> None:
-    plan = plan_of(ORDER, progress(2.0, judgement=BAD), BOUNDS)
+    plan = plan_rollout(ORDER, progress(2.0, judgement=BAD), BOUNDS)
     assert (plan.state, plan.phase) == (RolloutState.ROLLED_BACK, RolloutPhase.HELD)
 
 
 def test_all_work_moves_only_when_the_rest_fits_into_the_allowance() -> None:
-    early = plan_of(ORDER, progress(3.0, judgement=SOUND, exposed=15), BOUNDS)
-    late = plan_of(ORDER, progress(10.8, judgement=SOUND, exposed=15), BOUNDS)
+    early = plan_rollout(ORDER, progress(3.0, judgement=SOUND, exposed=15), BOUNDS)
+    late = plan_rollout(ORDER, progress(10.8, judgement=SOUND, exposed=15), BOUNDS)
     assert (early.phase, late.phase) == (RolloutPhase.TRIAL, RolloutPhase.MOVING)
 
 
@@ -123,7 +123,7 @@
         (70, SOUND, RolloutState.RUNNING),
         (76, SOUND, RolloutState.COMPLETED),
         (76, NO_EVIDENCE, RolloutState.RUNNING),
-        (76, Judgement(together=-3.0, worst=-1.0), RolloutState.RUNNING),
+        (76, Judgement(total_log_ratio=-3.0, worst_log_ratio=-1.0), RolloutState.RUNNING),
         (84, SOUND, RolloutState.RUNNING),
     ],
 )
@@ -135,14 +135,14 @@
     What it may get until the deadline is 122 requests here, of which 42 are to come.
     """
     seen = progress(11.3, judgement=SOUND, moved=moved, exposed=exposed, is_moving=True)
-    assert plan_of(ORDER, seen, BOUNDS).state is state
+    assert plan_rollout(ORDER, seen, BOUNDS).state is state
 
 
 def test_a_version_that_nothing_is_known_of_is_not_completed() -> None:
-    for judgement in (NO_EVIDENCE, Judgement(together=-2.0, worst=-2.0)):
-        plan = plan_of(ORDER, progress(12.0, judgement=judgement), BOUNDS)
+    for judgement in (NO_EVIDENCE, Judgement(total_log_ratio=-2.0, worst_log_ratio=-2.0)):
+        plan = plan_rollout(ORDER, progress(12.0, judgement=judgement), BOUNDS)
         assert plan.state is RolloutState.ROLLED_BACK
-    unseen_under_load = plan_of(ORDER, progress(12.0, judgement=SOUND, is_moving=True), BOUNDS)
+    unseen_under_load = plan_rollout(ORDER, progress(12.0, judgement=SOUND, is_moving=True), BOUNDS)
     assert unseen_under_load.state is RolloutState.ROLLED_BACK
 
 
@@ -157,9 +157,13 @@
 ) -> None:
     order = RolloutOrder(service="apps", version="v2", duration_s=duration_s)
     seen = TrialProgress(
-        elapsed_s=elapsed_s, arrivals=arrivals, exposed=exposed, judgement=SOUND, moved=SOUND
+        elapsed_s=elapsed_s,
+        arrivals=arrivals,
+        exposed=exposed,
+        judgement=SOUND,
+        judgement_since_move=SOUND,
     )
-    plan = plan_of(order, seen, BOUNDS)
+    plan = plan_rollout(order, seen, BOUNDS)
     rate = sum(arrivals.values()) / max(1.0, elapsed_s)
     allowed = BOUNDS.share * rate * duration_s + BOUNDS.slack
     if plan.phase is RolloutPhase.MOVING and not plan.state.is_final:
@@ -232,22 +236,22 @@
 
 def test_the_versions_that_were_there_first_serve_until_one_is_completed() -> None:
     versions = ServiceVersions()
-    versions.note({"v1"})
-    assert versions.settled({"v1", "v2"}) == {"v1"}
-    versions.ordered(ORDER, {"v1"})
-    assert versions.settled({"v1", "v2"}) == {"v1"}
+    versions.update_known_versions({"v1"})
+    assert versions.ordinary_versions({"v1", "v2"}) == {"v1"}
+    versions.apply_order(ORDER, {"v1"})
+    assert versions.ordinary_versions({"v1", "v2"}) == {"v1"}
     versions.phase = RolloutPhase.MOVING
-    assert versions.settled({"v1", "v2"}) == {"v2"}
-    versions.decided(RolloutState.COMPLETED)
-    assert versions.settled({"v1", "v2"}) == {"v2"}
-    versions.decided(RolloutState.ROLLED_BACK)
-    assert versions.settled({"v1", "v2"}) == {"v2"}
+    assert versions.ordinary_versions({"v1", "v2"}) == {"v2"}
+    versions.apply_state(RolloutState.COMPLETED)
+    assert versions.ordinary_versions({"v1", "v2"}) == {"v2"}
+    versions.apply_state(RolloutState.ROLLED_BACK)
+    assert versions.ordinary_versions({"v1", "v2"}) == {"v2"}
 
 
 def test_a_version_that_was_rolled_back_gets_nothing_though_it_is_alone() -> None:
     versions = ServiceVersions()
-    versions.note({"v1"})
-    versions.ordered(ORDER, {"v1"})
-    assert versions.settled({"v2"}) == {"v2"}
-    versions.decided(RolloutState.ROLLED_BACK)
-    assert versions.settled({"v2"}) == frozenset()
+    versions.update_known_versions({"v1"})
+    versions.apply_order(ORDER, {"v1"})
+    assert versions.ordinary_versions({"v2"}) == {"v2"}
+    versions.apply_state(RolloutState.ROLLED_BACK)
+    assert versions.ordinary_versions({"v2"}) == frozenset()
