--- a/lagoonlever/decisions/targets/backoffs.py
+++ b/lagoonlever/decisions/targets/backoffs.py
@@ -1,8 +1,8 @@
-"""Targets that rejected a request and asked for a back-off, and until when it lasts.
+"""Targets that rejected a request and requested a back-off, and until when it lasts.
 
 A target rejects some of the requests that arrive and serves the rest. If it was avoided only by
 its recorded failures, it would be tried again within half a second, and each request that it
-serves then would bring further ones, during the time in which it wants none.
+serves then would bring further ones, during the time in which it accepts none.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 
 @attrs.define(kw_only=True)
 class BackoffTargets:
-    """Until when each target wants no requests from this VM; times in monotonic seconds."""
+    """Until when each target accepts no requests from this VM; times in monotonic seconds."""
 
     _until: dict[str, float] = attrs.field(factory=dict)
 
     def record(self, target: str, backoff_s: float, now: float) -> None:
-        """Record a back-off that a target asked for; a longer one from before stays."""
+        """Record a back-off that a target requested; a longer one from before stays."""
         self._until[target] = max(now + backoff_s, self._until.get(target, now))
 
     def remaining_s(self, target: str, now: float) -> float:
--- a/lagoonlever/decisions/targets/freshness.py
+++ b/lagoonlever/decisions/targets/freshness.py
@@ -19,7 +19,7 @@
 from lagoonlever.http.messages import Address
 
 MAX_LIST_AGE_S = 2.5
-"""New work stops once the last proven reading of the list is older than this.
+"""New work stops once the newest reading of the list, by this VM or a peer, is older than this.
 
 It keeps the rule that no VM sends new work to a target later than 3 s after the target was listed
 as leaving. In an outage of the platform for all VMs work goes on (see ``ListStatus``).
@@ -119,8 +119,8 @@
         """Update the peers that are counted.
 
         While the list is late, only peers that leave as planned are removed. Otherwise the
-        smaller side of a network partition would in time declare the others dead, count only
-        itself, and use a list that is minutes old.
+        smaller side of a network partition would declare the others dead after the suspicion
+        timeout, count only itself, and use a list that is minutes old.
         """
         leaving = {m.peers for m in members.members if m.state is MemberState.LEAVING}
         others = [m.peers for m in members.reachable if m.incarnation != members.own]
--- a/lagoonlever/decisions/targets/limit_permits.py
+++ b/lagoonlever/decisions/targets/limit_permits.py
@@ -11,6 +11,11 @@
 If the coordinator dies while the load is at its highest, it takes other VMs a second or two to
 remove it from their views. Until then the next VM by rank stands in with a part of the limit, as
 the coordinator may only be slow and still issue permits.
+
+Permits accumulate at the rate of the limit. The less valuable some work is, the more of them have
+to be saved before it gets one. Work that has begun, so that its caller has a part of the answer,
+requires the fewest, like a first attempt of the highest priority. A lower priority requires more,
+and so does a retry.
 """
 
 from __future__ import annotations
@@ -28,13 +33,13 @@
 An answer now and then shows when the overload is over.
 """
 MIN_REQUIRED_PERMITS = 1.0
-"""How many permits must be saved before the most valuable work gets one."""
+"""Number of permits that must be saved before the most valuable work gets one."""
 EXTRA_PERMITS_PER_RANK = 0.25
-"""How many more must be saved for each rank of an organisation or route below the first."""
+"""Number of further permits for each rank of an organisation or route below the first."""
 MAX_RANK = 3
 """Ranks beyond this one are treated like it."""
 EXTRA_PERMITS_FOR_RETRY = 0.5
-"""How many more must be saved for an attempt after the first, which is useful but not needed."""
+"""Number of further permits for an attempt after the first, which is useful but not needed."""
 MAX_SAVED_PERMITS = 2.5
 """The maximum number of saved permits at a low limit.
 
@@ -50,12 +55,12 @@
 MIN_MISS_SPACING_S = 0.05
 """Unanswered requests that are closer in time count as one, as one pause affects them all."""
 MISSES_KEPT_S = 1.5
-"""How long after the last unanswered request a VM is taken for one that answers again.
+"""This long after its last unanswered request, a VM is no longer counted as silent.
 
 It is longer than it takes other VMs to remove a dead VM from their views.
 """
 MAX_SAVED_S = 0.25
-"""The maximum number of saved permits at a high limit, as the time in which they are earned."""
+"""The maximum number of saved permits at a high limit, in seconds of the limit's rate."""
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -103,6 +108,7 @@
 @attrs.define(kw_only=True)
 class _Permits:
     saved: float
+    """Number of saved permits; fractions accumulate until a permit is whole."""
     at: float
     """When ``saved`` was updated last."""
 
@@ -172,7 +178,10 @@
             self._misses[vm] = _Misses(count=known.count + 1, at=now)
 
     def is_silent(self, vm: str, now: float) -> bool:
-        """Check whether a VM left ``MAX_MISSES`` requests in succession unanswered."""
+        """Check whether a VM left ``MAX_MISSES`` requests in succession unanswered.
+
+        The last of them counts for ``MISSES_KEPT_S``.
+        """
         known = self._misses.get(vm)
         if known is None or now - known.at > MISSES_KEPT_S:
             return False
--- a/lagoonlever/decisions/targets/load.py
+++ b/lagoonlever/decisions/targets/load.py
@@ -1,4 +1,4 @@
-"""The state of each target as learnt from probes and dispatches.
+"""The state of each target as seen in probes and dispatches.
 
 It consists of the models that an engine serves, the last load report, and failed connects, after
 which other targets are preferred for a while.
--- a/lagoonlever/decisions/targets/load_estimate.py
+++ b/lagoonlever/decisions/targets/load_estimate.py
@@ -38,7 +38,11 @@
 
     @property
     def free(self) -> float:
-        """The estimated number of free slots; 0 or less where requests wait."""
+        """Slots minus running and waiting requests.
+
+        It is above 0 although requests wait where the target has reported waiting requests while
+        fewer than ``slots`` were running, for example for lack of memory.
+        """
         return self.slots - self.running - self.waiting
 
 
--- a/lagoonlever/decisions/targets/load_view.py
+++ b/lagoonlever/decisions/targets/load_view.py
@@ -1,7 +1,7 @@
 """Estimates of the targets' load, from load reports and from this VM's own requests.
 
 Targets share their machines with others, and are several times slower for periods of some 0.6 s.
-A VM gets a report of each target only once in seconds, and sends requests to it meanwhile. A
+A VM gets a report of each target only every few seconds, and sends requests to it meanwhile. A
 choice by the last report alone would send all requests to the target that was idle then. So an
 estimate is the newest report, plus the requests that this VM has sent since, minus those that
 have ended since. A reported slowdown counts for as long as such a period lasts. Whatever a target
@@ -103,7 +103,7 @@
 
     _states: dict[str, _TargetState] = attrs.field(factory=dict)
     _restarted_at: dict[str, float] = attrs.field(factory=dict)
-    """When this VM learnt that a target had restarted; older reports of it are ignored."""
+    """When this VM noticed that a target had restarted; older reports of it are ignored."""
     _numbers: Iterator[int] = attrs.field(factory=itertools.count)
 
     @property
@@ -186,7 +186,8 @@
     def estimate(self, target: str, now: float) -> LoadEstimate:
         """Return the estimated load of a target.
 
-        Without any report only this VM's open requests count, and they are taken for its slots.
+        Without any report only this VM's open requests count, and their number is also used as
+        the number of slots.
         """
         state = self._states.get(target, _TargetState())
         own, report = len(state.open), state.report
--- a/lagoonlever/decisions/targets/registry.py
+++ b/lagoonlever/decisions/targets/registry.py
@@ -4,30 +4,30 @@
 seconds after the last renewal. This module handles the cases in which the list differs from the
 targets that are really there:
 
-- Store outage: entries lapse while the store is away, though their targets live, and are written
-  again within about two seconds of the store's return. A removal that is read right after an
-  outage therefore counts only once these two seconds are over. They count from the return and
-  not from the removal: a VM that was cut off alone can't distinguish this from an outage, and
-  must not keep a target that really left in use beyond the time in which it may still get work.
-  A removal at any other time counts at once.
+- Store outage: entries lapse while the store is unreachable, though their targets are running, and
+  are written again within about two seconds of the store's return. A removal that is read right
+  after an outage therefore counts only once these two seconds are over (a held removal). They begin
+  at the store's return and not at the removal. Otherwise a VM that alone was cut off from the
+  store, which can't distinguish this from an outage, would use a target that really left beyond the
+  time in which it may still get work. A removal at any other time counts at once.
 - Crash: a crashed target stays listed until its entry lapses, while the process that replaces it
   is listed at the same address under another id. A newer entry at an address therefore ends the
   older ones there. Otherwise requests would still be sent to the old id, and the new process
   would reject each.
 - Restart under the same id: a target reports when its process started (``started_ms``). A
-  different start means another process, for which nothing that was learnt before holds.
+  different start means another process, for which nothing that was measured before holds.
 - Order: changes arrive in any order, from the store and from other VMs. Of each target the change
   of the highest revision counts, also if it is a removal.
-- Leave announcement: a target that leaves says so in its answers too, often sooner than the store
-  can tell. The announcement counts at once, for as long as the target's process lives, whatever
-  the list says later.
+- Leave announcement: a target that leaves reports it in its answers too, often before the store's
+  list shows it. The announcement counts at once, for as long as the target's process is running,
+  whatever the list says later.
 - Restored store: the store may be restored from an older copy, and begins a new era then. Its
   list is newer than any change of the era before, but an entry in it may be older than what was
-  known of its target. A target that drained or was gone does not become ready by such an entry.
-  An entry of an earlier start than the known one belongs to a former process, and undoes nothing
-  that the later one has announced. A target that is missing gets time to write its entry again.
-  Within an era, a start that is earlier than the known one belongs to a new process whose clock
-  was set back.
+  known of its target. A target that drained or was gone does not become ready by such an entry. An
+  entry of an earlier start than the known one belongs to a former process, and does not cancel a
+  leave announcement of the later one. A target that is missing gets time to write its entry again.
+  Within an era, a start that is earlier than the known one belongs to a new process whose clock was
+  set back.
 """
 
 from __future__ import annotations
@@ -51,7 +51,7 @@
 Targets whose entries lapsed in the outage write them again within about 2 s of the return.
 """
 LAPSE_S = 4.0
-"""How long the entry of a target that is gone stays listed, unless the settings say otherwise."""
+"""How long the entry of a target that is gone stays listed; the default of ``lapse_s``."""
 UNKNOWN_REVISION = Revision(number=-1)
 """The revision of a target of which nothing is known; lower than that of any entry."""
 
@@ -79,7 +79,7 @@
     _removed: dict[str, _RemovedTarget] = attrs.field(factory=dict)
     """Targets that were removed within ``FORGET_S``, to ignore changes older than the removal."""
     _replaced_at: dict[str, float] = attrs.field(factory=dict)
-    """Targets that another process has replaced at their address, and when this was learnt."""
+    """Targets that another process has replaced at their address, and when this VM noticed it."""
     _unlisted_until: dict[str, float] = attrs.field(factory=dict)
     """Targets that were found without an entry, and until when they are used without one."""
     _former_starts: dict[str, int] = attrs.field(factory=dict)
@@ -218,7 +218,7 @@
         ``store_back_at`` is when the store was reached again after an outage; None if there was
         none lately. A list of a new era shows that the store has just come back. The list may
         come from another VM, and contain a target whose removal that VM holds. Such a target has
-        no entry of the new era, so this VM holds the removal for a time of its own.
+        no entry of the new era, so this VM starts its own delay for the removal.
         """
         is_restored = self._as_of > NOWHERE and self._as_of.era < revision.era
         self._update_list_start(now, store_back_at, is_restored=is_restored)
@@ -382,11 +382,11 @@
             self.versions_of(service).update_known_versions(versions)
 
     def _apply_entry(self, target: ListedTarget, now: float) -> bool:
-        """Apply an entry; return whether other VMs need to be told of it.
+        """Apply an entry; return whether it needs to be sent to other VMs.
 
         An entry of the start before the one that the target itself reported arrived late, and
-        changes only the revision. An entry that differs from the known one only by a revision of
-        a new era need not be told, unless it ends a held removal: other VMs hold it too.
+        changes only the revision. An entry that differs from the known one only by a revision of a
+        new era need not be sent, unless it ends a held removal, as other VMs hold that removal too.
         """
         known, start = self._targets.get(target.id), self.process_start(target.id)
         former = self._former_starts.get(target.id)
@@ -430,7 +430,7 @@
     def _mark_unconfirmed(self, target: ListedTarget, now: float) -> None:
         """Mark a target as unconfirmed if it was gone and an entry of an older copy lists it.
 
-        It gets no work for ``lapse_s``, within which the entry lapses unless the target lives.
+        It gets no work for ``lapse_s``, within which the entry lapses unless the target is running.
         """
         gone = self._removed.get(target.id)
         self._unconfirmed_until.pop(target.id, None)
--- a/lagoonlever/decisions/targets/replacements.py
+++ b/lagoonlever/decisions/targets/replacements.py
@@ -2,15 +2,15 @@
 
 In an outage of the store, engines that crash and restart can't register. If the engines of one
 data centre after the other crash within such an outage of eight seconds, and are back within two,
-the list names only ids that are gone, nearly every engine is idle and unknown in the end, and
-streams are rejected: without this check only a sixth of the value of the requests of these
-seconds was served.
+the list names only ids that are gone. After the last crash nearly every engine is idle and
+unknown, and streams are rejected: without this check only a sixth of the requests of these seconds,
+by their value, was served.
 
 A process that answers at the address reports its id, but not its service, and the address of a
-target that ended is assigned to another service after a while. Before that while is over, the
-process can only belong to the same service. The proof consists of a sign of life that the former
-target sent before it ended, and of an answer of the new process, if the time between them is too
-short for the address to have been reassigned.
+target that ended is assigned to another service after a while. Until then, the process can
+only belong to the same service. The proof consists of a sign of life that the former target sent
+before it ended, and of an answer of the new process, if the time between them is too short for the
+address to have been reassigned.
 """
 
 from __future__ import annotations
--- a/lagoonlever/decisions/targets/reported_limits.py
+++ b/lagoonlever/decisions/targets/reported_limits.py
@@ -1,7 +1,8 @@
 """The rate limits that overloaded targets report in their answers.
 
-A target reports how many requests per second it accepts from all VMs together, for as long as
-the limit holds. Answers arrive in any order and at many VMs; the newest report counts.
+A target reports how many requests per second it accepts from all VMs together. The limit holds
+until the target reports another one, or none. Answers arrive in any order and at many VMs; the
+newest report counts.
 """
 
 from __future__ import annotations
@@ -26,7 +27,7 @@
 
         A report of no limit is dated by ``sent_at``, when its request was sent: the answer may
         have been overtaken by a later one that reports a limit. A report of a limit is dated by
-        ``now``.
+        ``now``, when it arrived.
         """
         return cls(per_s=per_s, at=sent_at if per_s is None else now)
 
--- a/lagoonlever/decisions/targets/targets.py
+++ b/lagoonlever/decisions/targets/targets.py
@@ -61,7 +61,10 @@
 
 @attrs.frozen
 class TargetIncarnation:
-    """A target's name at one address: at another address it is another process."""
+    """A target's name and address: at another address it is another process.
+
+    A restart at the same address is not distinguished.
+    """
 
     name: str
     address: Address
--- a/lagoonlever/decisions/targets/watch.py
+++ b/lagoonlever/decisions/targets/watch.py
@@ -72,6 +72,7 @@
     _freshness: ListFreshness = attrs.field(factory=ListFreshness)
 
     def __attrs_post_init__(self) -> None:
+        # No list has been read yet, so the time has no effect.
         self._freshness.members_changed(self._members, 0.0)
 
     def list_status(self, now: float) -> ListStatus:
@@ -79,7 +80,7 @@
         return self._freshness.status(now)
 
     def list_age_s(self, now: float) -> float | None:
-        """Return the seconds since the newest proven reading of the list, or None."""
+        """Return the seconds since the newest reading by this VM or a peer, or None."""
         return None if self._freshness.read_at is None else self._freshness.age_s(now)
 
     def may_dispatch(self, name: str, address: Address, now: float) -> bool:
