--- a/lagoonlever/decisions/streams/copy_policy.py
+++ b/lagoonlever/decisions/streams/copy_policy.py
@@ -1,10 +1,10 @@
 """Policy for the KV-cache copy of a run at a second engine: when it is made again on demand.
 
-If all engines of a data centre crash together every few seconds, a stream lives through several
-crashes. The copy that an engine updates while the run continues (an incremental copy) is lost
-with its holder, and the next crash then costs the prefill of the whole prompt: a second, and a
-pause longer than callers accept. So a run whose holder is lost or leaves is copied again by a
-call to its engine (an on-demand copy), and that copy is refreshed before it expires.
+If all engines of a data centre crash together every few seconds, a stream is interrupted by several
+crashes. The copy that an engine updates while the run continues (an incremental copy) is lost with
+its holder, and the next crash then costs the prefill of the whole prompt: a second, and a pause
+longer than callers accept. So a run whose holder is lost or leaves is copied again by a call to its
+engine (an on-demand copy), and that copy is refreshed before it expires.
 """
 
 from __future__ import annotations
--- a/lagoonlever/decisions/streams/generation.py
+++ b/lagoonlever/decisions/streams/generation.py
@@ -175,8 +175,9 @@
     ) -> list[Decision]:
         """Handle an engine's first chunk, which has the model version and the prompt's token ids.
 
-        An attempt of another model version than the released tokens is dropped: its tokens
-        would continue the answer of a different model.
+        An attempt of another model version than the answer is dropped: its tokens
+        would continue the answer of a different model. The answer has the version of the first
+        attempt that opened in this generation, or of the resume point.
         """
         current = self._open_attempts.get(attempt)
         if current is None:
--- a/lagoonlever/decisions/streams/run_placement.py
+++ b/lagoonlever/decisions/streams/run_placement.py
@@ -1,11 +1,11 @@
 """Placement of a run: the engine for it, the engine for its KV-cache copy, or a refusal.
 
 Each of hundreds of VMs places a stream every few seconds, and each placement needs to know the
-runs of all VMs. If every VM is told of every run, a run costs some five messages to every VM,
-and a VM spends more on them than on its own callers: 16.6 messages a second at 195 VMs with 19
-streams a second, which took 12.7 of 29 ms of CPU time per VM and second. So in a very large
-fleet a few VMs keep the register of runs and the others send one of them a placement request
-for each attempt.
+runs of all VMs. If every run is announced to every VM, a run costs some five messages to every
+VM, and a VM spends more on them than on its own callers: 16.6 messages a second at 195 VMs with 19
+streams a second, which took 12.7 ms of the 29 ms of CPU time that each VM used per second. So in a
+very large fleet a few VMs keep the register of runs and the others send one of them a placement
+request for each attempt.
 
 The VM that answers reserves the placement at once, for a short time. Otherwise VMs that send
 their requests at the same moment, as after a crash of engines, would get the same engine.
--- a/lagoonlever/decisions/streams/stream_lifecycle.py
+++ b/lagoonlever/decisions/streams/stream_lifecycle.py
@@ -101,9 +101,10 @@
 UNDISTURBED_QUANTILE = 0.1
 """Quantile of the gaps that shows decoding without the prefill of another run.
 
-It holds even at an engine that prefills for most of its time. With the quantile 0.25, and with
-announced lengths, prompts were refused that the engines could serve: 0.898 of the streams were
-in time, against 0.950 (over three days each, on engines 1.5 times slower).
+It is the gap without a prefill even at an engine that prefills for most of its time. With the
+quantile 0.25, and with announced lengths, prompts were refused that the engines could serve: 0.898
+of the streams were in time, against 0.950 with this quantile (over three days each, on engines 1.5
+times slower).
 """
 
 
