--- a/lagoonlever/decisions/routing/__init__.py
+++ b/lagoonlever/decisions/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Which target a generation goes to, by prefix and load."""
+"""Selection of a target for each generation, by cached prefix and load."""
--- a/lagoonlever/decisions/routing/policies.py
+++ b/lagoonlever/decisions/routing/policies.py
@@ -1,4 +1,4 @@
-"""The plain policies: random, round robin, least loaded; measures for the project's own."""
+"""Baseline policies (random, round robin, least loaded, least in flight) to compare others with."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 @policy("random")
 class RandomPolicy:
-    """Any target, each as likely as the other."""
+    """Policy that selects a target uniformly at random."""
 
     def choose(
         self, features: RequestFeatures, view: TargetView, state: RoutingState, rng: random.Random
     ) -> Choice | NoTarget:
-        """Give the choice for one dispatch."""
+        """Return the choice for one dispatch."""
         targets = candidates(features, view, state)
         if not targets:
             return no_target(features, view)
@@ -33,12 +33,12 @@
 
 @policy("round_robin")
 class RoundRobinPolicy:
-    """One target after the other, in order of name."""
+    """Policy that cycles through the targets in order of name."""
 
     def choose(
         self, features: RequestFeatures, view: TargetView, state: RoutingState, rng: random.Random
     ) -> Choice | NoTarget:
-        """Give the choice for one dispatch."""
+        """Return the choice for one dispatch."""
         targets = candidates(features, view, state)
         if not targets:
             return no_target(features, view)
@@ -48,27 +48,27 @@
 
 @policy("least_loaded")
 class LeastLoadedPolicy:
-    """The target whose last report tells the fewest requests; as good as its reports are new."""
+    """Policy that selects the lowest reported load per slot; outdated reports mislead it."""
 
     def choose(
         self, features: RequestFeatures, view: TargetView, state: RoutingState, rng: random.Random
     ) -> Choice | NoTarget:
-        """Give the choice for one dispatch."""
+        """Return the choice for one dispatch."""
         targets = candidates(features, view, state)
         if not targets:
             return no_target(features, view)
         rng.shuffle(targets)
-        return chosen(features, min(targets, key=_reported))
+        return chosen(features, min(targets, key=_reported_load_per_slot))
 
 
 @policy("least_in_flight")
 class LeastInFlightPolicy:
-    """The target that holds the fewest requests of this VM; needs no report."""
+    """Policy that selects the target with the fewest requests of this VM; needs no load reports."""
 
     def choose(
         self, features: RequestFeatures, view: TargetView, state: RoutingState, rng: random.Random
     ) -> Choice | NoTarget:
-        """Give the choice for one dispatch."""
+        """Return the choice for one dispatch."""
         targets = candidates(features, view, state)
         if not targets:
             return no_target(features, view)
@@ -76,7 +76,7 @@
         return chosen(features, min(targets, key=lambda target: state.in_flight(target.name)))
 
 
-def _reported(target: Target) -> float:
+def _reported_load_per_slot(target: Target) -> float:
     if target.load is None:
         return 0.0
     return (target.load.running + target.load.waiting) / max(1, target.load.slots)
--- a/lagoonlever/decisions/routing/subsets.py
+++ b/lagoonlever/decisions/routing/subsets.py
@@ -1,9 +1,9 @@
-"""Which targets each VM uses at scale, so that each target serves about as many VMs.
+"""Subsetting: assigns each VM a subset of the targets, so that VMs spread evenly over targets.
 
-VMs and targets are each put in the order of a hash and cut into the same number
-of groups; a VM uses the targets of its group. Load is even up to one VM a
-group, VMs of a group share their prefixes, and a VM or target that comes or
-goes moves each border by at most one place.
+VMs and targets are each sorted by hash and split into the same number of
+groups; a VM uses the targets of its group. Group sizes differ by at most one VM,
+VMs of a group share cached prefixes, and adding or removing a VM or target
+moves each group boundary by at most one position.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 def grouped_subset(
     *, node: str, nodes: Iterable[str], targets: Iterable[str], size: int
 ) -> frozenset[str] | None:
-    """Give the targets that a VM uses, about ``size`` of them, or None for all.
+    """Return the targets that a VM uses, about ``size`` of them, or None for all.
 
-    VMs whose views differ disagree only at the borders of the groups: they use
-    one target more or less, which costs an uneven load and nothing else.
+    VMs with different views disagree only at group boundaries: they use one target
+    more or fewer, which only makes the load less even.
     """
     ordered_targets = _in_hash_order(targets)
     if len(ordered_targets) <= size:
@@ -38,7 +38,7 @@
 
 
 def rendezvous_subset(*, node: str, targets: Sequence[str], size: int) -> frozenset[str] | None:
-    """Give the ``size`` targets of the highest hash with this VM; needs no list of VMs."""
+    """Return the ``size`` targets with the highest hash for this VM; needs no list of VMs."""
     if len(targets) <= size:
         return None
     seed = _digest(node) ^ RENDEZVOUS_SEED
