--- a/lagoonlever/decisions/orders/orders.py
+++ b/lagoonlever/decisions/orders/orders.py
@@ -153,7 +153,7 @@
         """
         return self._fencing == fencing and now + ORDER_TIMEOUT_S <= self._valid_until
 
-    def acquired(self, *, fencing: int, sent_at: float, ttl_s: float) -> None:
+    def record_lease_acquired(self, *, fencing: int, sent_at: float, ttl_s: float) -> None:
         """Take that the lease is held; ``sent_at`` is before the call that granted it.
 
         What was wanted under an earlier lease is forgotten: it may have changed.
--- a/lagoonlever/entry/orders/orders.py
+++ b/lagoonlever/entry/orders/orders.py
@@ -155,7 +155,7 @@
         claim = await self._platform.claim([key])
         if not claim.keys[0].created:
             return False
-        self._holder.acquired(
+        self._holder.record_lease_acquired(
             fencing=claim.revision.number, sent_at=sent_at, ttl_s=self._lease.ttl_s
         )
         ORDERS_HELD.log(log, fencing=claim.revision.number)
--- a/lagoonlever/tests/orders_tests.py
+++ b/lagoonlever/tests/orders_tests.py
@@ -276,7 +276,7 @@
         state = WantedState()
         reports = dict.fromkeys(names, OrderReport(fencing=0, wanted=state, actual=state))
         holder = OrderHolder(budget=LoadBudget(loads_per_s=self.loads_per_s))
-        holder.acquired(fencing=1, sent_at=0.0, ttl_s=10_000.0)
+        holder.record_lease_acquired(fencing=1, sent_at=0.0, ttl_s=10_000.0)
         holder.wanted_read(dict.fromkeys(names, self.wanted))
         for step in range(round(seconds / STEP_S)):
             now = step * STEP_S
@@ -332,9 +332,9 @@
     if not guarded:
         monkeypatch.setattr(LoadBudget, "start_empty", lambda self, now: None)
     holder = OrderHolder(budget=LoadBudget(loads_per_s=LOADS_PER_S))
-    holder.acquired(fencing=1, sent_at=0.0, ttl_s=TTL_S)
+    holder.record_lease_acquired(fencing=1, sent_at=0.0, ttl_s=TTL_S)
     holder.step_down()
-    holder.acquired(fencing=2, sent_at=100.0, ttl_s=TTL_S)
+    holder.record_lease_acquired(fencing=2, sent_at=100.0, ttl_s=TTL_S)
     holder.wanted_read({"ignoring": WantedState(models=KEYS[:1])})
     holder.next_actions(ENGINES, 100.0)
     empty = OrderReport(fencing=1, wanted=WantedState(), actual=WantedState())
