--- a/lagoonlever/decisions/orders/orders.py
+++ b/lagoonlever/decisions/orders/orders.py
@@ -163,7 +163,7 @@
         self._duties.clear()
         self._budget.start_empty(sent_at)
 
-    def renewed(self, *, sent_at: float, ttl_s: float) -> None:
+    def record_lease_renewed(self, *, sent_at: float, ttl_s: float) -> None:
         """Take that the lease was renewed by a call sent then."""
         self._valid_until = max(self._valid_until, sent_at + ttl_s - LEASE_MARGIN_S)
 
--- a/lagoonlever/entry/orders/orders.py
+++ b/lagoonlever/entry/orders/orders.py
@@ -174,7 +174,7 @@
                 return
             if isinstance(renewal, Lapsed):
                 return
-            self._holder.renewed(sent_at=sent_at, ttl_s=renewal.ttl_s)
+            self._holder.record_lease_renewed(sent_at=sent_at, ttl_s=renewal.ttl_s)
 
     async def _read_wanted(self) -> None:
         store = WantedStore(platform=self._platform)
