--- a/lagoonlever/decisions/orders/orders.py
+++ b/lagoonlever/decisions/orders/orders.py
@@ -172,7 +172,7 @@
         self._fencing = None
         self._valid_until = float("-inf")
 
-    def wanted_read(self, wanted: Mapping[str, WantedState]) -> None:
+    def update_wanted(self, wanted: Mapping[str, WantedState]) -> None:
         """Take the states that operators want, read from the platform under this lease."""
         for name in self._duties.keys() - wanted.keys():
             del self._duties[name]
--- a/lagoonlever/entry/orders/orders.py
+++ b/lagoonlever/entry/orders/orders.py
@@ -181,7 +181,7 @@
         while True:
             try:
                 read = await store.read()
-                self._holder.wanted_read(read.document.engines)
+                self._holder.update_wanted(read.document.engines)
             except WantedUnreadable as error:
                 ORDERS_WANTED_BAD.log(log, error=str(error))
             except PlatformError:
--- a/lagoonlever/tests/orders_tests.py
+++ b/lagoonlever/tests/orders_tests.py
@@ -277,7 +277,7 @@
         reports = dict.fromkeys(names, OrderReport(fencing=0, wanted=state, actual=state))
         holder = OrderHolder(budget=LoadBudget(loads_per_s=self.loads_per_s))
         holder.record_lease_acquired(fencing=1, sent_at=0.0, ttl_s=10_000.0)
-        holder.wanted_read(dict.fromkeys(names, self.wanted))
+        holder.update_wanted(dict.fromkeys(names, self.wanted))
         for step in range(round(seconds / STEP_S)):
             now = step * STEP_S
             actions = holder.next_actions(names, now)
@@ -335,7 +335,7 @@
     holder.record_lease_acquired(fencing=1, sent_at=0.0, ttl_s=TTL_S)
     holder.step_down()
     holder.record_lease_acquired(fencing=2, sent_at=100.0, ttl_s=TTL_S)
-    holder.wanted_read({"ignoring": WantedState(models=KEYS[:1])})
+    holder.update_wanted({"ignoring": WantedState(models=KEYS[:1])})
     holder.next_actions(ENGINES, 100.0)
     empty = OrderReport(fencing=1, wanted=WantedState(), actual=WantedState())
     holder.observed("ignoring", empty, 100.0)
