--- a/lagoonlever/decisions/orders/orders.py
+++ b/lagoonlever/decisions/orders/orders.py
@@ -206,7 +206,7 @@
             duty.busy, duty.tried_at = True, now
         return actions
 
-    def observed(self, engine: str, report: OrderReport, now: float) -> None:
+    def record_report(self, engine: str, report: OrderReport, now: float) -> None:
         """Take what an engine told; a greater number than ours ends our holding."""
         if self._fencing is not None and report.fencing > self._fencing:
             self.step_down()
--- a/lagoonlever/entry/orders/orders.py
+++ b/lagoonlever/entry/orders/orders.py
@@ -216,7 +216,7 @@
         except PeerError:
             self._holder.failed(action.engine, self._timers.now)
             return
-        self._holder.observed(action.engine, report, read_at)
+        self._holder.record_report(action.engine, report, read_at)
 
     async def _give(self, order: GiveOrder) -> None:
         target = self._targets.value.find(order.engine)
--- a/lagoonlever/tests/orders_tests.py
+++ b/lagoonlever/tests/orders_tests.py
@@ -285,7 +285,7 @@
                 if action.engine in names[: self.dead]:
                     holder.failed(action.engine, now)
                 elif isinstance(action, ReadEngine):
-                    holder.observed(action.engine, reports[action.engine], now)
+                    holder.record_report(action.engine, reports[action.engine], now)
                 else:
                     self.loads += len(action.wanted.models)
                     reports[action.engine] = OrderReport(
@@ -338,7 +338,7 @@
     holder.update_wanted({"ignoring": WantedState(models=KEYS[:1])})
     holder.next_actions(ENGINES, 100.0)
     empty = OrderReport(fencing=1, wanted=WantedState(), actual=WantedState())
-    holder.observed("ignoring", empty, 100.0)
+    holder.record_report("ignoring", empty, 100.0)
     assert bool(holder.next_actions(ENGINES, 100.25)) is not guarded
     assert bool(holder.next_actions(ENGINES, 101.0)) is guarded
 
