--- a/lagoonlever/decisions/orders/orders.py
+++ b/lagoonlever/decisions/orders/orders.py
@@ -214,7 +214,7 @@
         if duty is not None:
             duty.report, duty.read_at, duty.busy = report, now, False
 
-    def ordered(self, engine: str) -> None:
+    def record_order_sent(self, engine: str) -> None:
         """Take that an order was written, whatever came back: it is read again at once."""
         duty = self._duties.get(engine)
         if duty is not None:
--- a/lagoonlever/entry/orders/orders.py
+++ b/lagoonlever/entry/orders/orders.py
@@ -237,7 +237,7 @@
             answer = OrderAnswer.TAKEN
         if answer is OrderAnswer.REFUSED:
             ORDER_REFUSED.log(log, engine=order.engine, fencing=order.fencing)
-        self._holder.ordered(order.engine)
+        self._holder.record_order_sent(order.engine)
 
     def _may_write(self) -> bool:
         fencing = self._holder.fencing
--- a/lagoonlever/tests/orders_tests.py
+++ b/lagoonlever/tests/orders_tests.py
@@ -291,7 +291,7 @@
                     reports[action.engine] = OrderReport(
                         fencing=1, wanted=action.wanted, actual=action.wanted
                     )
-                    holder.ordered(action.engine)
+                    holder.record_order_sent(action.engine)
             self.reads.append(sum(isinstance(action, ReadEngine) for action in actions))
         self.stamped = sum(report.fencing == 1 for report in reports.values())
 
