--- a/lagoonlever/decisions/orders/orders.py
+++ b/lagoonlever/decisions/orders/orders.py
@@ -220,7 +220,7 @@
         if duty is not None:
             duty.report, duty.busy = None, False
 
-    def failed(self, engine: str, now: float) -> None:
+    def record_failure(self, engine: str, now: float) -> None:
         """Take that an engine was not reached."""
         duty = self._duties.get(engine)
         if duty is not None:
--- a/lagoonlever/entry/orders/orders.py
+++ b/lagoonlever/entry/orders/orders.py
@@ -208,20 +208,20 @@
     async def _read(self, action: ReadEngine) -> None:
         target = self._targets.value.find(action.engine)
         if target is None:
-            self._holder.failed(action.engine, self._timers.now)
+            self._holder.record_failure(action.engine, self._timers.now)
             return
         read_at = self._timers.now
         try:
             report = await read_order(target.address, timeout_s=ORDER_TIMEOUT_S)
         except PeerError:
-            self._holder.failed(action.engine, self._timers.now)
+            self._holder.record_failure(action.engine, self._timers.now)
             return
         self._holder.record_report(action.engine, report, read_at)
 
     async def _give(self, order: GiveOrder) -> None:
         target = self._targets.value.find(order.engine)
         if target is None:
-            self._holder.failed(order.engine, self._timers.now)
+            self._holder.record_failure(order.engine, self._timers.now)
             return
         try:
             answer = await give_order(
@@ -231,7 +231,7 @@
                 may_write=lambda: self._holder.may_write(order.fencing, self._timers.now),
             )
         except ConnectFailed:
-            self._holder.failed(order.engine, self._timers.now)
+            self._holder.record_failure(order.engine, self._timers.now)
             return
         except PeerError:
             answer = OrderAnswer.TAKEN
--- a/lagoonlever/tests/orders_tests.py
+++ b/lagoonlever/tests/orders_tests.py
@@ -283,7 +283,7 @@
             actions = holder.next_actions(names, now)
             for action in actions:
                 if action.engine in names[: self.dead]:
-                    holder.failed(action.engine, now)
+                    holder.record_failure(action.engine, now)
                 elif isinstance(action, ReadEngine):
                     holder.record_report(action.engine, reports[action.engine], now)
                 else:
