--- a/lagoonlever/decisions/orders/orders.py
+++ b/lagoonlever/decisions/orders/orders.py
@@ -68,7 +68,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class GiveOrder:
+class SendOrder:
     """Give an engine an order, after ``may_write`` was asked once more."""
 
     engine: str
@@ -76,7 +76,7 @@
     wanted: WantedState
 
 
-OrderAction = ReadEngine | GiveOrder
+OrderAction = ReadEngine | SendOrder
 
 
 @attrs.define(kw_only=True)
@@ -255,7 +255,7 @@
         if not self._budget.take(loads, now):
             return None
         duty.ordered_at = now
-        return GiveOrder(engine=name, fencing=fencing, wanted=duty.wanted)
+        return SendOrder(engine=name, fencing=fencing, wanted=duty.wanted)
 
 
 def _loads(report: OrderReport, wanted: WantedState) -> int:
--- a/lagoonlever/entry/orders/orders.py
+++ b/lagoonlever/entry/orders/orders.py
@@ -13,7 +13,7 @@
 from lagoonlever.decisions.orders.orders import (
     ORDER_TIMEOUT_S,
     READS_PER_S,
-    GiveOrder,
+    SendOrder,
     LoadBudget,
     OrderHolder,
     ReadEngine,
@@ -218,7 +218,7 @@
             return
         self._holder.record_report(action.engine, report, read_at)
 
-    async def _give(self, order: GiveOrder) -> None:
+    async def _give(self, order: SendOrder) -> None:
         target = self._targets.value.find(order.engine)
         if target is None:
             self._holder.record_failure(order.engine, self._timers.now)
--- a/lagoonlever/targets/orders.py
+++ b/lagoonlever/targets/orders.py
@@ -10,7 +10,7 @@
 import msgspec
 import trio
 
-from lagoonlever.decisions.orders.orders import GiveOrder, OrderReport, WantedState
+from lagoonlever.decisions.orders.orders import SendOrder, OrderReport, WantedState
 from lagoonlever.exceptions import BadResponse, PeerTimeout
 from lagoonlever.http.client import ClientConnection
 from lagoonlever.http.json_client import fetch_json
@@ -44,7 +44,7 @@
 
 
 async def give_order(
-    address: Address, order: GiveOrder, *, timeout_s: float, may_write: Callable[[], bool]
+    address: Address, order: SendOrder, *, timeout_s: float, may_write: Callable[[], bool]
 ) -> OrderAnswer:
     """Give an order; ``may_write`` is asked when connected, right before the write.
 
@@ -66,7 +66,7 @@
     return OrderAnswer.TAKEN
 
 
-async def _exchange(connection: ClientConnection, order: GiveOrder) -> int:
+async def _exchange(connection: ClientConnection, order: SendOrder) -> int:
     body = msgspec.json.encode(_Order(fencing=order.fencing, wanted=order.wanted))
     await connection.start(
         method="POST", path=ORDERS_PATH, headers=_HEADERS, body=body, step=GIVE_STEP
--- a/lagoonlever/tests/orders_part_tests.py
+++ b/lagoonlever/tests/orders_part_tests.py
@@ -10,7 +10,7 @@
 import trio
 
 from lagoonlever.decisions.membership.membership import Member, MemberState, MemberView
-from lagoonlever.decisions.orders.orders import GiveOrder, WantedState
+from lagoonlever.decisions.orders.orders import SendOrder, WantedState
 from lagoonlever.decisions.orders.wanted import WantedEngines
 from lagoonlever.decisions.targets.targets import ModelKey, Target, TargetKind, TargetView
 from lagoonlever.entry.orders.orders import OrderSettings, OrdersPart
@@ -117,7 +117,7 @@
         await wait_for(serves_new)
         number = first.fencing
         first_scope.cancel()
-        old = GiveOrder(engine="engine-1", fencing=1, wanted=WantedState(models=(OLD,)))
+        old = SendOrder(engine="engine-1", fencing=1, wanted=WantedState(models=(OLD,)))
         answer = await give_order(engine, old, timeout_s=5.0, may_write=lambda: True)
         assert (answer is OrderAnswer.REFUSED) is checks_fencing
         second, _ = start("vm-2")
--- a/lagoonlever/tests/orders_tests.py
+++ b/lagoonlever/tests/orders_tests.py
@@ -12,7 +12,7 @@
 
 from lagoonlever.decisions.orders import orders
 from lagoonlever.decisions.orders.orders import (
-    GiveOrder,
+    SendOrder,
     LoadBudget,
     OrderHolder,
     OrderReport,
@@ -38,7 +38,7 @@
     numbers: list[int] = attrs.field(factory=list)
     reads: int = 0
 
-    def take(self, order: GiveOrder) -> None:
+    def take(self, order: SendOrder) -> None:
         if self.checks and order.fencing < self.report.fencing:
             return
         self.numbers.append(order.fencing)
@@ -70,7 +70,7 @@
     desired: dict[str, WantedState] = attrs.field(factory=dict)
     engines: dict[str, Engine] = attrs.field(factory=dict)
     vms: list[Vm] = attrs.field(factory=list)
-    on_the_way: list[GiveOrder] = attrs.field(factory=list)
+    on_the_way: list[SendOrder] = attrs.field(factory=list)
 
     def __attrs_post_init__(self) -> None:
         for name in ENGINES:
@@ -119,7 +119,7 @@
         if vm.holder.fencing is not None:
             vm.holder.wanted_read(self.desired)
 
-    def give(self, vm: Vm, order: GiveOrder) -> None:
+    def give(self, vm: Vm, order: SendOrder) -> None:
         assert vm.holder.may_write(order.fencing, self.now)
         assert order.fencing == self.fencing, "an order was written beyond its lease"
         known = self.engines[order.engine].report.actual.models
