--- a/lagoonlever/decisions/orders/orders.py
+++ b/lagoonlever/decisions/orders/orders.py
@@ -25,7 +25,7 @@
 """An engine is read this often, also when nothing is to be ordered."""
 CHECKED_READ_PERIOD_S = 30.0
 """The same for an engine that checks numbers: no old holder's order can stand there."""
-READS_PER_S = 6.0
+MAX_READS_PER_S = 6.0
 """All reads that find nothing to order; a larger fleet's engines are read less often."""
 READS_AT_ONCE = 16
 """Reads begun in one step: a new holder stamps hundreds of engines one after the other."""
@@ -134,7 +134,7 @@
     _budget: LoadBudget
     _read_period_s: float = READ_PERIOD_S
     _checked_read_period_s: float = CHECKED_READ_PERIOD_S
-    _reads_per_s: float = READS_PER_S
+    _reads_per_s: float = MAX_READS_PER_S
     _fencing: int | None = None
     _valid_until: float = float("-inf")
     _duties: dict[str, _Duty] = attrs.field(factory=dict)
--- a/lagoonlever/entry/orders/orders.py
+++ b/lagoonlever/entry/orders/orders.py
@@ -12,7 +12,7 @@
 from lagoonlever.decisions.membership.membership import MemberView
 from lagoonlever.decisions.orders.orders import (
     ORDER_TIMEOUT_S,
-    READS_PER_S,
+    MAX_READS_PER_S,
     SendOrder,
     LoadBudget,
     OrderHolder,
@@ -80,7 +80,7 @@
         default=6.0, at_least=0.01, at_most=10000, doc="Loads that the weight store can feed."
     )
     reads_per_s: float = option(
-        default=READS_PER_S,
+        default=MAX_READS_PER_S,
         at_least=0.1,
         at_most=1000,
         doc="Reads of engines that have all they are to have, a second, over all engines.",
--- a/lagoonlever/tests/orders_tests.py
+++ b/lagoonlever/tests/orders_tests.py
@@ -306,7 +306,7 @@
     fleet.run(180.0)
     assert fleet.stamped == 600 and max(fleet.reads) <= orders.READS_AT_ONCE
     # Two reads to stamp an engine, and then the periodic ones.
-    assert sum(fleet.reads) <= 2 * 600 + 180 * orders.READS_PER_S
+    assert sum(fleet.reads) <= 2 * 600 + 180 * orders.MAX_READS_PER_S
 
 
 def test_engines_that_wait_for_their_load_are_not_read_meanwhile() -> None:
@@ -318,7 +318,7 @@
     fleet = LargeFleet(WantedState(models=KEYS[:1]))
     fleet.run(180.0)
     assert 16 <= fleet.loads <= 18
-    assert sum(fleet.reads) <= 600 + 3 * fleet.loads + 180 * orders.READS_PER_S
+    assert sum(fleet.reads) <= 600 + 3 * fleet.loads + 180 * orders.MAX_READS_PER_S
 
 
 @pytest.mark.parametrize("guarded", [True, False])
