--- a/lagoonlever/decisions/orders/orders.py
+++ b/lagoonlever/decisions/orders/orders.py
@@ -27,7 +27,7 @@
 """The same for an engine that checks numbers: no old holder's order can stand there."""
 MAX_READS_PER_S = 6.0
 """All reads that find nothing to order; a larger fleet's engines are read less often."""
-READS_AT_ONCE = 16
+MAX_READS_PER_STEP = 16
 """Reads begun in one step: a new holder stamps hundreds of engines one after the other."""
 READ_FRESH_S = 1.0
 """An order rests on a state that was read no longer ago."""
@@ -200,7 +200,7 @@
                 (reads if isinstance(action, ReadEngine) else actions).append(action)
         # Engines that never answer are due at every step: the longest untried come first.
         reads.sort(key=lambda action: self._duties[action.engine].tried_at)
-        actions += reads[:READS_AT_ONCE]
+        actions += reads[:MAX_READS_PER_STEP]
         for action in actions:
             duty = self._duties[action.engine]
             duty.busy, duty.tried_at = True, now
--- a/lagoonlever/tests/orders_tests.py
+++ b/lagoonlever/tests/orders_tests.py
@@ -304,7 +304,7 @@
     """
     fleet = LargeFleet(WantedState())
     fleet.run(180.0)
-    assert fleet.stamped == 600 and max(fleet.reads) <= orders.READS_AT_ONCE
+    assert fleet.stamped == 600 and max(fleet.reads) <= orders.MAX_READS_PER_STEP
     # Two reads to stamp an engine, and then the periodic ones.
     assert sum(fleet.reads) <= 2 * 600 + 180 * orders.MAX_READS_PER_S
 
