--- a/lagoonlever/decisions/orders/orders.py
+++ b/lagoonlever/decisions/orders/orders.py
@@ -29,7 +29,7 @@
 """All reads that find nothing to order; a larger fleet's engines are read less often."""
 MAX_READS_PER_STEP = 16
 """Reads begun in one step: a new holder stamps hundreds of engines one after the other."""
-READ_FRESH_S = 1.0
+MAX_REPORT_AGE_S = 1.0
 """An order rests on a state that was read no longer ago."""
 RETRY_S = 1.0
 
@@ -250,7 +250,7 @@
         loads = _loads(report, duty.wanted)
         if not self._budget.covers(loads, now):
             return None
-        if now - duty.read_at > READ_FRESH_S:
+        if now - duty.read_at > MAX_REPORT_AGE_S:
             return ReadEngine(engine=name)
         if not self._budget.take(loads, now):
             return None
