--- a/lagoonlever/decisions/orders/orders.py
+++ b/lagoonlever/decisions/orders/orders.py
@@ -31,7 +31,7 @@
 """Reads begun in one step: a new holder stamps hundreds of engines one after the other."""
 MAX_REPORT_AGE_S = 1.0
 """An order rests on a state that was read no longer ago."""
-RETRY_S = 1.0
+RETRY_DELAY_S = 1.0
 
 
 @attrs.frozen(kw_only=True)
@@ -224,7 +224,7 @@
         """Take that an engine was not reached."""
         duty = self._duties.get(engine)
         if duty is not None:
-            duty.report, duty.busy, duty.retry_at = None, False, now + RETRY_S
+            duty.report, duty.busy, duty.retry_at = None, False, now + RETRY_DELAY_S
 
     def _read_periods_s(self, names: Collection[str], checked: Collection[str]) -> dict[str, float]:
         """Give how often to read each engine, all stretched alike to keep to the rate of reads."""
