--- a/lagoonlever/decisions/orders/wanted.py
+++ b/lagoonlever/decisions/orders/wanted.py
@@ -85,7 +85,7 @@
 WantedOutcome = WantedStored | WantedConflict | WantedNotStored | WantedUndetermined
 
 
-def conflicts_of(
+def find_conflicts(
     document: WantedEngines, edits: Sequence[WantedEdit]
 ) -> tuple[EngineConflict, ...]:
     """Give the engines that have neither the state that was seen nor the one wanted."""
--- a/lagoonlever/entry/orders/store.py
+++ b/lagoonlever/entry/orders/store.py
@@ -17,7 +17,7 @@
     WantedStored,
     WantedUndetermined,
     apply_edits,
-    conflicts_of,
+    find_conflicts,
     stands,
 )
 from lagoonlever.exceptions import PlatformAnswerLost, PlatformError, PlatformUnavailable
@@ -114,7 +114,7 @@
     """Give the outcome where nothing is left to write, or None."""
     if stands(read.document, edits):
         return WantedStored(revision=read.revision, made=sent)
-    conflicts = conflicts_of(read.document, edits)
+    conflicts = find_conflicts(read.document, edits)
     if not conflicts:
         return None
     if sent:
