--- a/lagoonlever/decisions/orders/wanted.py
+++ b/lagoonlever/decisions/orders/wanted.py
@@ -97,7 +97,7 @@
     )
 
 
-def stands(document: WantedEngines, edits: Sequence[WantedEdit]) -> bool:
+def is_applied(document: WantedEngines, edits: Sequence[WantedEdit]) -> bool:
     """Tell whether everything that the edits want stands already."""
     return all(_same(document.engines.get(edit.engine), edit.wanted) for edit in edits)
 
--- a/lagoonlever/entry/orders/store.py
+++ b/lagoonlever/entry/orders/store.py
@@ -18,7 +18,7 @@
     WantedUndetermined,
     apply_edits,
     find_conflicts,
-    stands,
+    is_applied,
 )
 from lagoonlever.exceptions import PlatformAnswerLost, PlatformError, PlatformUnavailable
 from lagoonlever.store.port import ABSENT, ChangeRefused, Platform, Swapped
@@ -112,7 +112,7 @@
 
 def _settled(read: ReadWanted, edits: Sequence[WantedEdit], *, sent: bool) -> WantedOutcome | None:
     """Give the outcome where nothing is left to write, or None."""
-    if stands(read.document, edits):
+    if is_applied(read.document, edits):
         return WantedStored(revision=read.revision, made=sent)
     conflicts = find_conflicts(read.document, edits)
     if not conflicts:
