--- a/lagoonlever/decisions/orders/wanted.py
+++ b/lagoonlever/decisions/orders/wanted.py
@@ -112,7 +112,7 @@
     return WantedEngines(engines=engines)
 
 
-def faults_of(edits: Sequence[WantedEdit], *, known: Collection[str]) -> tuple[Fault, ...]:
+def find_faults(edits: Sequence[WantedEdit], *, known: Collection[str]) -> tuple[Fault, ...]:
     """Give every fault of the edits; ``known`` are the engines there are."""
     faults = [fault for edit in edits for fault in _faults_of_edit(edit, known)]
     names = [edit.engine for edit in edits]
--- a/lagoonlever/entry/admin/orders.py
+++ b/lagoonlever/entry/admin/orders.py
@@ -7,7 +7,7 @@
 import trio
 
 from lagoonlever.decisions.orders.orders import ORDER_TIMEOUT_S
-from lagoonlever.decisions.orders.wanted import faults_of
+from lagoonlever.decisions.orders.wanted import find_faults
 from lagoonlever.decisions.targets.targets import Target, TargetKind, TargetState, TargetView
 from lagoonlever.entry.admin import http
 from lagoonlever.entry.admin.operators import Operators
@@ -116,7 +116,7 @@
 
     async def _changed(self, asked: OrdersChangeAsked) -> OrdersChangeTold:
         seen = {edit.engine for edit in asked.edits if edit.expected is not None}
-        faults = faults_of(asked.edits, known=self._engines().keys() | seen)
+        faults = find_faults(asked.edits, known=self._engines().keys() | seen)
         if faults:
             return OrdersChangeTold(
                 tag="invalid", message="the wanted states have faults", faults=faults
