--- a/lagoonlever/entry/orders/orders.py
+++ b/lagoonlever/entry/orders/orders.py
@@ -11,12 +11,12 @@
 from lagoonlever.config.options import option
 from lagoonlever.decisions.membership.membership import MemberView
 from lagoonlever.decisions.orders.orders import (
-    ORDER_TIMEOUT_S,
     MAX_READS_PER_S,
-    SendOrder,
+    ORDER_TIMEOUT_S,
     LoadBudget,
     OrderHolder,
     ReadEngine,
+    SendOrder,
 )
 from lagoonlever.decisions.targets.targets import TargetKind, TargetView
 from lagoonlever.entry.orders.store import WantedStore, WantedUnreadable
--- a/lagoonlever/targets/orders.py
+++ b/lagoonlever/targets/orders.py
@@ -10,7 +10,7 @@
 import msgspec
 import trio
 
-from lagoonlever.decisions.orders.orders import SendOrder, OrderReport, WantedState
+from lagoonlever.decisions.orders.orders import OrderReport, SendOrder, WantedState
 from lagoonlever.exceptions import BadResponse, PeerTimeout
 from lagoonlever.http.client import ClientConnection
 from lagoonlever.http.json_client import fetch_json
--- a/lagoonlever/tests/orders_tests.py
+++ b/lagoonlever/tests/orders_tests.py
@@ -12,11 +12,11 @@
 
 from lagoonlever.decisions.orders import orders
 from lagoonlever.decisions.orders.orders import (
-    SendOrder,
     LoadBudget,
     OrderHolder,
     OrderReport,
     ReadEngine,
+    SendOrder,
     WantedState,
 )
 from lagoonlever.decisions.targets.targets import ModelKey
