--- a/lagoonlever/tests/orders_tests.py
+++ b/lagoonlever/tests/orders_tests.py
@@ -102,7 +102,7 @@
             if isinstance(action, ReadEngine):
                 self.engines[action.engine].reads += 1
                 report = self.engines[action.engine].report
-                vm.holder.observed(action.engine, report, self.now)
+                vm.holder.record_report(action.engine, report, self.now)
             else:
                 self.give(vm, action)
 
@@ -110,14 +110,14 @@
         if self.lease_holder is None and vm.holder.fencing is None:
             self.fencing += 1
             self.lease_holder, self.lease_until = index, self.now + TTL_S
-            vm.holder.acquired(fencing=self.fencing, sent_at=self.now, ttl_s=TTL_S)
+            vm.holder.record_lease_acquired(fencing=self.fencing, sent_at=self.now, ttl_s=TTL_S)
         elif self.lease_holder != index:
             vm.holder.step_down()
         elif vm.holder.fencing is not None:
             self.lease_until = self.now + TTL_S
-            vm.holder.renewed(sent_at=self.now, ttl_s=TTL_S)
+            vm.holder.record_lease_renewed(sent_at=self.now, ttl_s=TTL_S)
         if vm.holder.fencing is not None:
-            vm.holder.wanted_read(self.desired)
+            vm.holder.update_wanted(self.desired)
 
     def give(self, vm: Vm, order: SendOrder) -> None:
         assert vm.holder.may_write(order.fencing, self.now)
@@ -128,7 +128,7 @@
             self.on_the_way.append(order)
         else:
             self.engines[order.engine].take(order)
-        vm.holder.ordered(order.engine)
+        vm.holder.record_order_sent(order.engine)
 
     def settle(self) -> None:
         self.platform_up = True
