--- a/lagoonlever/decisions/orders/__init__.py
+++ b/lagoonlever/decisions/orders/__init__.py
@@ -1,1 +1,1 @@
-"""Orders to engines under a lease, and the state that is wanted."""
+"""Orders sent to engines under a lease, and edits of the wanted engine states."""
--- a/lagoonlever/decisions/orders/orders.py
+++ b/lagoonlever/decisions/orders/orders.py
@@ -1,12 +1,17 @@
-"""Orders to engines: which to give now, by the holder of one lease, as state wanted.
-
-An order names the whole state wanted of one engine, never a step, and carries
-the lease's fencing number. Engines that compare numbers refuse an old holder's.
-For those that ignore the number the order is safe by its shape: it is given
-only on a state just read, only while the lease holds with a margin, and every
-engine is read again and again, so that an old holder's late order is put right.
-Where the settings say that an engine checks numbers, it is read seldom: only its
-own loss of what it was told, as in a restart, has to be found there.
+"""Decides which orders the lease holder sends to engines, and when it reads their state.
+
+Several VMs may send orders, so one lease decides which VM does. A VM that was
+paused can still believe that it holds an expired lease, and its order can arrive
+after an order of the new holder.
+
+An order states the whole wanted state of one engine, never an incremental step,
+and carries the fencing number of the lease. Engines that compare fencing numbers
+reject the orders of a former holder. For engines that ignore the number, an order
+is sent only on the basis of a recent report and only while the lease is valid with
+a margin, and every engine is read periodically, so that a late order of a former
+holder is detected and corrected. An engine that checks fencing numbers according
+to the settings is read less often: there, the reads only have to detect that the
+engine itself lost its order, for example in a restart.
 """
 
 from __future__ import annotations
@@ -20,30 +25,44 @@
 
 ORDER_TIMEOUT_S = 1.0
 LEASE_MARGIN_S = 1.0
-"""Beyond an order's own time: what two clocks may differ by over one lease."""
+"""Subtracted from the lease's validity, in addition to ``ORDER_TIMEOUT_S``.
+
+It covers the drift between two clocks over the duration of one lease.
+"""
 READ_PERIOD_S = 2.0
-"""An engine is read this often, also when nothing is to be ordered."""
+"""Interval between reads of an engine, also when there is no order to send."""
 CHECKED_READ_PERIOD_S = 30.0
-"""The same for an engine that checks numbers: no old holder's order can stand there."""
+"""Interval between reads of an engine that checks fencing numbers.
+
+It is longer because such an engine never accepts an order of a former holder.
+"""
 MAX_READS_PER_S = 6.0
-"""All reads that find nothing to order; a larger fleet's engines are read less often."""
+"""Limit on the rate of periodic reads, which find nothing to order, over all engines.
+
+In a fleet that would exceed it, each engine is read less often.
+"""
 MAX_READS_PER_STEP = 16
-"""Reads begun in one step: a new holder stamps hundreds of engines one after the other."""
+"""Limit on the reads started in one call of ``OrderHolder.next_actions``.
+
+A new lease holder has to order hundreds of engines; without the limit it would read
+all of them at once.
+"""
 MAX_REPORT_AGE_S = 1.0
-"""An order rests on a state that was read no longer ago."""
+"""Maximum age of the report that an order is based on; an older one is read again."""
 RETRY_DELAY_S = 1.0
+"""Delay before the next attempt at an engine that could not be reached."""
 
 
 @attrs.frozen(kw_only=True)
 class WantedState:
-    """The state wanted of an engine; models in no order."""
+    """The complete state of an engine; the order of ``models`` has no meaning."""
 
     models: tuple[ModelKey, ...] = ()
     role: str = "both"
     draining: bool = False
 
     def same_as(self, other: WantedState) -> bool:
-        """Tell whether two states want the same."""
+        """Return whether both states are equal, ignoring the order of models."""
         return (
             set(self.models) == set(other.models)
             and self.role == other.role
@@ -53,7 +72,11 @@
 
 @attrs.frozen(kw_only=True)
 class OrderReport:
-    """What an engine tells: the last order it took, its number, and what it has by now."""
+    """An engine's report on its orders.
+
+    ``fencing`` and ``wanted`` are those of the last order that it accepted;
+    ``actual`` is its current state.
+    """
 
     fencing: int
     wanted: WantedState
@@ -62,14 +85,17 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ReadEngine:
-    """Read an engine's order."""
+    """An action: read an engine's order report."""
 
     engine: str
 
 
 @dataclass(frozen=True, kw_only=True)
 class SendOrder:
-    """Give an engine an order, after ``may_write`` was asked once more."""
+    """An action: send an order to an engine.
+
+    The sender must check ``OrderHolder.may_write`` again right before it sends.
+    """
 
     engine: str
     fencing: int
@@ -81,41 +107,55 @@
 
 @attrs.define(kw_only=True)
 class LoadBudget:
-    """Spreads loads of models under the weight store's rate."""
+    """A token bucket that limits model loads to the rate of the weight store.
+
+    One token stands for one load of a model; times are monotonic seconds.
+    """
 
     _loads_per_s: float
     _burst: int = 1
     _tokens: float = 0.0
-    _at: float = 0.0
+    _updated_at: float = 0.0
 
     def covers(self, loads: int, now: float) -> bool:
-        """Tell whether so many loads could be taken now; more than the burst need a whole one."""
-        return not loads or self._grown(now) >= min(loads, self._burst)
+        """Return whether ``take`` would succeed now.
+
+        For more loads than the burst size, a full bucket suffices.
+        """
+        return not loads or self._refilled(now) >= min(loads, self._burst)
 
     def start_empty(self, now: float) -> None:
-        """Begin without any load to give.
+        """Empty the bucket.
 
-        A new holder can't know how many loads the former began in the last moment,
-        so it waits for its first one as long as between any two.
+        A new lease holder does not know how many loads the former holder has just
+        started, so it waits before its first load as long as between two loads.
         """
-        self._tokens, self._at = 0.0, now
+        self._tokens, self._updated_at = 0.0, now
 
     def take(self, loads: int, now: float) -> bool:
-        """Take so many loads if the rate allows."""
+        """Consume tokens for ``loads`` model loads, and return whether the rate allowed it.
+
+        More loads than the burst size leave the bucket with a negative level, which
+        delays the next loads.
+        """
         covered = self.covers(loads, now)
-        self._tokens, self._at = self._grown(now), now
+        self._tokens, self._updated_at = self._refilled(now), now
         if covered:
             self._tokens -= loads
         return covered
 
-    def _grown(self, now: float) -> float:
-        grown = self._tokens + (now - self._at) * self._loads_per_s
-        return min(float(self._burst), grown)
+    def _refilled(self, now: float) -> float:
+        level = self._tokens + (now - self._updated_at) * self._loads_per_s
+        return min(float(self._burst), level)
 
 
 @attrs.define
-class _Duty:
-    """What the holder knows of one engine."""
+class _EngineState:
+    """The wanted state of one engine, its last report, and when it was read or ordered.
+
+    ``report`` is None if the engine must be read before the next order; ``busy`` is
+    True while an action for the engine is in progress.
+    """
 
     wanted: WantedState
     report: OrderReport | None = None
@@ -123,13 +163,16 @@
     retry_at: float = float("-inf")
     ordered_at: float = float("-inf")
     tried_at: float = float("-inf")
-    """When it was last read or ordered."""
+    """When the last read or order was started, whether or not it succeeded."""
     busy: bool = False
 
 
 @attrs.define(kw_only=True)
 class OrderHolder:
-    """One VM's side of the orders; times are monotonic seconds of that VM."""
+    """One VM's view of the order lease, and its schedule of reads and orders.
+
+    Times are monotonic seconds of that VM.
+    """
 
     _budget: LoadBudget
     _read_period_s: float = READ_PERIOD_S
@@ -137,127 +180,144 @@
     _reads_per_s: float = MAX_READS_PER_S
     _fencing: int | None = None
     _valid_until: float = float("-inf")
-    _duties: dict[str, _Duty] = attrs.field(factory=dict)
+    _engines: dict[str, _EngineState] = attrs.field(factory=dict)
 
     @property
     def fencing(self) -> int | None:
-        """The fencing number while the lease is thought to be held, or None."""
+        """The fencing number while this VM believes that it holds the lease, or None."""
         return self._fencing
 
     def may_write(self, fencing: int, now: float) -> bool:
-        """Tell whether an order may be written now; ask right before the write.
+        """Return whether an order may be sent now; call it right before sending.
 
-        Guards against a holder that was paused and wakes after its lease has
-        lapsed: the clock went on meanwhile, so the lease counts as void even if
-        nobody told. The margin covers the order's own time on its way.
+        Guards against a holder that was paused and resumes after its lease has
+        expired: the clock advanced during the pause, so the lease counts as expired
+        even though no notification arrived. The lease must remain valid for
+        ``ORDER_TIMEOUT_S`` more, which covers the time in which the order is in transit.
         """
         return self._fencing == fencing and now + ORDER_TIMEOUT_S <= self._valid_until
 
     def record_lease_acquired(self, *, fencing: int, sent_at: float, ttl_s: float) -> None:
-        """Take that the lease is held; ``sent_at`` is before the call that granted it.
+        """Record that the lease was acquired by a call sent at ``sent_at``.
 
-        What was wanted under an earlier lease is forgotten: it may have changed.
+        The wanted states of an earlier lease are discarded, as they may have changed.
         """
         self._fencing = fencing
         self._valid_until = sent_at + ttl_s - LEASE_MARGIN_S
-        self._duties.clear()
+        self._engines.clear()
         self._budget.start_empty(sent_at)
 
     def record_lease_renewed(self, *, sent_at: float, ttl_s: float) -> None:
-        """Take that the lease was renewed by a call sent then."""
+        """Record that the lease was renewed by a call sent at ``sent_at``."""
         self._valid_until = max(self._valid_until, sent_at + ttl_s - LEASE_MARGIN_S)
 
     def step_down(self) -> None:
-        """Take that the lease is lost; it counts only once acquired anew."""
+        """Record that the lease is lost; no order is sent until it is acquired again."""
         self._fencing = None
         self._valid_until = float("-inf")
 
     def update_wanted(self, wanted: Mapping[str, WantedState]) -> None:
-        """Take the states that operators want, read from the platform under this lease."""
-        for name in self._duties.keys() - wanted.keys():
-            del self._duties[name]
-        for name, state in wanted.items():
-            self._duties.setdefault(name, _Duty(state)).wanted = state
+        """Replace the wanted states by those read from the store under this lease.
+
+        Engines that are missing in ``wanted`` are no longer read or ordered.
+        """
+        for name in self._engines.keys() - wanted.keys():
+            del self._engines[name]
+        for name, wanted_state in wanted.items():
+            self._engines.setdefault(name, _EngineState(wanted_state)).wanted = wanted_state
 
     def next_actions(
         self, engines: Iterable[str], now: float, *, checked: Collection[str] = ()
     ) -> list[OrderAction]:
-        """Give what to do now, at most one thing for each engine at a time.
+        """Return the reads and orders to start now, at most one in progress per engine.
 
-        Engines that are ``checked`` refuse old numbers, and are read seldom.
-        Whoever was ordered longest ago comes first: an engine whose answers are
-        always lost must not use up the rate of loads alone.
+        ``checked`` names the engines that reject old fencing numbers; they are read
+        less often. The engine whose last order is oldest comes first: otherwise an
+        engine whose responses are always lost could use up the whole load budget.
         """
         if self._fencing is None or not self.may_write(self._fencing, now):
             return []
-        names = set(engines) & self._duties.keys()
+        names = set(engines) & self._engines.keys()
         periods_s = self._read_periods_s(names, checked)
         actions: list[OrderAction] = []
         reads: list[OrderAction] = []
-        for name in sorted(names, key=lambda name: (self._duties[name].ordered_at, name)):
-            action = self._next(name, self._duties[name], self._fencing, now, periods_s[name])
+        for name in sorted(names, key=lambda name: (self._engines[name].ordered_at, name)):
+            action = self._next_action(
+                name, self._engines[name], self._fencing, now, periods_s[name]
+            )
             if action is not None:
                 (reads if isinstance(action, ReadEngine) else actions).append(action)
-        # Engines that never answer are due at every step: the longest untried come first.
-        reads.sort(key=lambda action: self._duties[action.engine].tried_at)
+        # Engines that never respond are due in every call, so that the read limit would starve
+        # the others: the engines whose last attempt is oldest come first.
+        reads.sort(key=lambda action: self._engines[action.engine].tried_at)
         actions += reads[:MAX_READS_PER_STEP]
         for action in actions:
-            duty = self._duties[action.engine]
-            duty.busy, duty.tried_at = True, now
+            state = self._engines[action.engine]
+            state.busy, state.tried_at = True, now
         return actions
 
     def record_report(self, engine: str, report: OrderReport, now: float) -> None:
-        """Take what an engine told; a greater number than ours ends our holding."""
+        """Record an engine's report, read at ``now``.
+
+        A greater fencing number than this VM's shows that another VM has acquired the
+        lease since, so this VM steps down.
+        """
         if self._fencing is not None and report.fencing > self._fencing:
             self.step_down()
-        duty = self._duties.get(engine)
-        if duty is not None:
-            duty.report, duty.read_at, duty.busy = report, now, False
+        state = self._engines.get(engine)
+        if state is not None:
+            state.report, state.read_at, state.busy = report, now, False
 
     def record_order_sent(self, engine: str) -> None:
-        """Take that an order was written, whatever came back: it is read again at once."""
-        duty = self._duties.get(engine)
-        if duty is not None:
-            duty.report, duty.busy = None, False
+        """Record that an order was sent, whatever the response: the engine is read again next."""
+        state = self._engines.get(engine)
+        if state is not None:
+            state.report, state.busy = None, False
 
     def record_failure(self, engine: str, now: float) -> None:
-        """Take that an engine was not reached."""
-        duty = self._duties.get(engine)
-        if duty is not None:
-            duty.report, duty.busy, duty.retry_at = None, False, now + RETRY_DELAY_S
+        """Record that an engine could not be reached; it is retried after ``RETRY_DELAY_S``."""
+        state = self._engines.get(engine)
+        if state is not None:
+            state.report, state.busy, state.retry_at = None, False, now + RETRY_DELAY_S
 
     def _read_periods_s(self, names: Collection[str], checked: Collection[str]) -> dict[str, float]:
-        """Give how often to read each engine, all stretched alike to keep to the rate of reads."""
-        known = frozenset(checked)
+        """Return the read interval of each engine in seconds.
+
+        All intervals are multiplied by one factor if the rate of reads would exceed its limit.
+        """
+        checked_names = frozenset(checked)
         periods_s = {
-            name: self._checked_read_period_s if name in known else self._read_period_s
+            name: self._checked_read_period_s if name in checked_names else self._read_period_s
             for name in names
         }
         reads_per_s = sum(1.0 / period_s for period_s in periods_s.values())
         stretch = max(1.0, reads_per_s / self._reads_per_s)
         return {name: period_s * stretch for name, period_s in periods_s.items()}
 
-    def _next(
-        self, name: str, duty: _Duty, fencing: int, now: float, read_period_s: float
+    def _next_action(
+        self, name: str, state: _EngineState, fencing: int, now: float, read_period_s: float
     ) -> OrderAction | None:
-        if duty.busy or now < duty.retry_at:
+        if state.busy or now < state.retry_at:
             return None
-        report = duty.report
-        if report is None or now - duty.read_at >= read_period_s:
+        report = state.report
+        if report is None or now - state.read_at >= read_period_s:
             return ReadEngine(engine=name)
-        if report.fencing == fencing and report.wanted.same_as(duty.wanted):
+        if report.fencing == fencing and report.wanted.same_as(state.wanted):
             return None
-        loads = _loads(report, duty.wanted)
+        loads = _new_loads(report, state.wanted)
         if not self._budget.covers(loads, now):
             return None
-        if now - duty.read_at > MAX_REPORT_AGE_S:
+        if now - state.read_at > MAX_REPORT_AGE_S:
             return ReadEngine(engine=name)
         if not self._budget.take(loads, now):
             return None
-        duty.ordered_at = now
-        return SendOrder(engine=name, fencing=fencing, wanted=duty.wanted)
+        state.ordered_at = now
+        return SendOrder(engine=name, fencing=fencing, wanted=state.wanted)
+
 
+def _new_loads(report: OrderReport, wanted: WantedState) -> int:
+    """Return how many models an order would newly load.
 
-def _loads(report: OrderReport, wanted: WantedState) -> int:
-    """Count the models that an order would newly load; a mere new number loads none."""
+    An order that only raises the fencing number loads none.
+    """
     return len(set(wanted.models) - set(report.actual.models) - set(report.wanted.models))
--- a/lagoonlever/decisions/orders/wanted.py
+++ b/lagoonlever/decisions/orders/wanted.py
@@ -1,8 +1,9 @@
-"""Changes of the states that operators want of engines, and when two of them clash.
+"""Edits of the wanted engine states, their validation, and the detection of conflicts.
 
-A change names, for each engine, the whole state that its author saw and the whole
-state wanted. It is made only where the seen state still stands, so that of two
-operators who race for one engine the second is told; others' engines are kept.
+Two operators may edit the wanted state of one engine at the same time. An edit
+therefore names the whole state that its author saw and the whole state wanted, and
+is applied only if the seen state is still current, like a compare-and-swap: the
+second operator gets a conflict. Engines that an edit does not name are unchanged.
 """
 
 from __future__ import annotations
@@ -18,20 +19,20 @@
 from lagoonlever.exceptions import Fault
 
 MODEL_PART = re.compile(r"[^@:\s]{1,200}\Z")
-"""A model's name, version or adapter; the other characters part them."""
+"""A model's name, version or adapter; ``@``, ``:`` and spaces are excluded as separators."""
 ROLE = re.compile(r"[a-z][a-z0-9-]{0,62}\Z")
 
 
 @attrs.frozen(kw_only=True)
 class WantedEngines:
-    """The state wanted of each engine by name; an engine not named is left alone."""
+    """The wanted state of each engine by name; an engine that is missing gets no orders."""
 
     engines: dict[str, WantedState] = attrs.field(factory=dict)
 
 
 @attrs.frozen(kw_only=True)
 class WantedEdit:
-    """One engine's change; None is an engine that is left alone."""
+    """An edit of one engine's wanted state; None stands for an engine that gets no orders."""
 
     engine: str
     expected: WantedState | None
@@ -40,7 +41,7 @@
 
 @attrs.frozen(kw_only=True)
 class EngineConflict:
-    """An engine for which somebody else wanted something meanwhile."""
+    """An engine whose wanted state was changed by somebody else in the meantime."""
 
     engine: str
     expected: WantedState | None
@@ -50,7 +51,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class WantedStored:
-    """All that was asked for stands at ``revision``; ``made`` is False if it stood already."""
+    """All edits are stored as of ``revision``; ``made`` is False if they were stored already."""
 
     tag = "stored"
     revision: int
@@ -59,7 +60,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class WantedConflict:
-    """Nothing was stored: look at what stands now, and decide again."""
+    """Nothing was stored, because of conflicts; the operator must review the current state."""
 
     tag = "conflict"
     revision: int
@@ -68,7 +69,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class WantedNotStored:
-    """The platform did not take the change; it may be asked for again."""
+    """The platform did not store the change; the request may be retried."""
 
     tag = "not-stored"
     message: str
@@ -76,7 +77,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class WantedUndetermined:
-    """An answer was lost, and what became of the change can't be found out."""
+    """A response was lost, and whether the change was stored can't be determined."""
 
     tag = "undetermined"
     message: str
@@ -88,22 +89,22 @@
 def find_conflicts(
     document: WantedEngines, edits: Sequence[WantedEdit]
 ) -> tuple[EngineConflict, ...]:
-    """Give the engines that have neither the state that was seen nor the one wanted."""
+    """Return the engines whose state is neither the expected nor the wanted one."""
     return tuple(
         EngineConflict(engine=edit.engine, expected=edit.expected, found=found, wanted=edit.wanted)
         for edit in edits
-        if not _same(found := document.engines.get(edit.engine), edit.expected)
-        and not _same(found, edit.wanted)
+        if not _equal_states(found := document.engines.get(edit.engine), edit.expected)
+        and not _equal_states(found, edit.wanted)
     )
 
 
 def is_applied(document: WantedEngines, edits: Sequence[WantedEdit]) -> bool:
-    """Tell whether everything that the edits want stands already."""
-    return all(_same(document.engines.get(edit.engine), edit.wanted) for edit in edits)
+    """Return whether the document already has the wanted state of every edit."""
+    return all(_equal_states(document.engines.get(edit.engine), edit.wanted) for edit in edits)
 
 
 def apply_edits(document: WantedEngines, edits: Sequence[WantedEdit]) -> WantedEngines:
-    """Give the document with the edits made."""
+    """Return a copy of the document with the edits applied."""
     engines = dict(document.engines)
     for edit in edits:
         engines.pop(edit.engine, None)
@@ -113,8 +114,8 @@
 
 
 def find_faults(edits: Sequence[WantedEdit], *, known: Collection[str]) -> tuple[Fault, ...]:
-    """Give every fault of the edits; ``known`` are the engines there are."""
-    faults = [fault for edit in edits for fault in _faults_of_edit(edit, known)]
+    """Return all faults of the edits; ``known`` names the engines that this VM knows."""
+    faults = [fault for edit in edits for fault in _edit_faults(edit, known)]
     names = [edit.engine for edit in edits]
     for name in sorted({name for name in names if names.count(name) > 1}):
         faults.append(Fault(path=name, message="is named twice"))
@@ -123,7 +124,7 @@
     return tuple(faults)
 
 
-def _faults_of_edit(edit: WantedEdit, known: Collection[str]) -> Iterator[Fault]:
+def _edit_faults(edit: WantedEdit, known: Collection[str]) -> Iterator[Fault]:
     if edit.wanted is None:
         return
     if edit.engine not in known:
@@ -132,11 +133,11 @@
         message = f"{edit.wanted.role!r} is no role; give a word such as 'both'"
         yield Fault(path=f"{edit.engine}.role", message=message)
     for model in edit.wanted.models:
-        for message in _faults_of_model(model, edit.wanted.models):
+        for message in _model_faults(model, edit.wanted.models):
             yield Fault(path=f"{edit.engine}.models", message=message)
 
 
-def _faults_of_model(model: ModelKey, models: Sequence[ModelKey]) -> Iterator[str]:
+def _model_faults(model: ModelKey, models: Sequence[ModelKey]) -> Iterator[str]:
     for part in (model.name, model.version, model.adapter):
         if part is not None and MODEL_PART.match(part) is None:
             yield f"{part!r} must be 1 to 200 characters without '@', ':' and spaces"
@@ -145,7 +146,7 @@
         yield f"the adapter {model.adapter} needs its model {base.name}@{base.version} as well"
 
 
-def _same(one: WantedState | None, other: WantedState | None) -> bool:
+def _equal_states(one: WantedState | None, other: WantedState | None) -> bool:
     if one is None or other is None:
         return one is other
     return one.same_as(other)
--- a/lagoonlever/tests/orders_tests.py
+++ b/lagoonlever/tests/orders_tests.py
@@ -1,4 +1,4 @@
-"""Tests of the orders: two VMs that may both believe to hold the lease, and what stands finally."""
+"""Tests of orders where two VMs may both believe that they hold the lease."""
 
 from __future__ import annotations
 
@@ -35,13 +35,13 @@
     report: OrderReport = attrs.field(
         factory=lambda: OrderReport(fencing=0, wanted=WantedState(), actual=WantedState())
     )
-    numbers: list[int] = attrs.field(factory=list)
+    fencing_numbers: list[int] = attrs.field(factory=list)
     reads: int = 0
 
-    def take(self, order: SendOrder) -> None:
+    def accept(self, order: SendOrder) -> None:
         if self.checks and order.fencing < self.report.fencing:
             return
-        self.numbers.append(order.fencing)
+        self.fencing_numbers.append(order.fencing)
         self.report = OrderReport(fencing=order.fencing, wanted=order.wanted, actual=order.wanted)
 
 
@@ -53,24 +53,24 @@
 
 @attrs.define(kw_only=True)
 class World:
-    """A lease in the platform, two VMs, two engines, and orders that are on their way."""
+    """A simulated lease in the store, two VMs, two engines, and orders in transit."""
 
     read_period_s: float = orders.READ_PERIOD_S
     checked_read_period_s: float = orders.CHECKED_READ_PERIOD_S
-    listed: frozenset[str] = frozenset({"checking"})
-    """The engines that the settings say check numbers."""
+    checked: frozenset[str] = frozenset({"checking"})
+    """The engines that check fencing numbers according to the settings."""
     now: float = 0.0
     steps: int = 0
     platform_up: bool = True
     lease_holder: int | None = None
     lease_until: float = 0.0
     fencing: int = 0
-    loads_given: int = 0
-    hold_next: bool = False
+    loads_ordered: int = 0
+    delay_orders: bool = False
     desired: dict[str, WantedState] = attrs.field(factory=dict)
     engines: dict[str, Engine] = attrs.field(factory=dict)
     vms: list[Vm] = attrs.field(factory=list)
-    on_the_way: list[SendOrder] = attrs.field(factory=list)
+    in_transit: list[SendOrder] = attrs.field(factory=list)
 
     def __attrs_post_init__(self) -> None:
         for name in ENGINES:
@@ -97,16 +97,16 @@
 
     def step(self, index: int, vm: Vm) -> None:
         if self.platform_up and self.steps % RENEW_EVERY_STEPS == 0:
-            self.talk_to_platform(index, vm)
-        for action in vm.holder.next_actions(ENGINES, self.now, checked=self.listed):
+            self.renew_or_acquire(index, vm)
+        for action in vm.holder.next_actions(ENGINES, self.now, checked=self.checked):
             if isinstance(action, ReadEngine):
                 self.engines[action.engine].reads += 1
                 report = self.engines[action.engine].report
                 vm.holder.record_report(action.engine, report, self.now)
             else:
-                self.give(vm, action)
+                self.send(vm, action)
 
-    def talk_to_platform(self, index: int, vm: Vm) -> None:
+    def renew_or_acquire(self, index: int, vm: Vm) -> None:
         if self.lease_holder is None and vm.holder.fencing is None:
             self.fencing += 1
             self.lease_holder, self.lease_until = index, self.now + TTL_S
@@ -119,29 +119,29 @@
         if vm.holder.fencing is not None:
             vm.holder.update_wanted(self.desired)
 
-    def give(self, vm: Vm, order: SendOrder) -> None:
+    def send(self, vm: Vm, order: SendOrder) -> None:
         assert vm.holder.may_write(order.fencing, self.now)
-        assert order.fencing == self.fencing, "an order was written beyond its lease"
+        assert order.fencing == self.fencing, "an order was sent after its lease had expired"
         known = self.engines[order.engine].report.actual.models
-        self.loads_given += len(set(order.wanted.models) - set(known))
-        if self.hold_next:
-            self.on_the_way.append(order)
+        self.loads_ordered += len(set(order.wanted.models) - set(known))
+        if self.delay_orders:
+            self.in_transit.append(order)
         else:
-            self.engines[order.engine].take(order)
+            self.engines[order.engine].accept(order)
         vm.holder.record_order_sent(order.engine)
 
     def settle(self) -> None:
         self.platform_up = True
-        self.hold_next = False
+        self.delay_orders = False
         for vm in self.vms:
             vm.paused = False
-        while self.on_the_way:
-            self.land(0)
+        while self.in_transit:
+            self.deliver(0)
         self.run(4 * TTL_S)
 
-    def land(self, index: int) -> None:
-        order = self.on_the_way.pop(index)
-        self.engines[order.engine].take(order)
+    def deliver(self, index: int) -> None:
+        order = self.in_transit.pop(index)
+        self.engines[order.engine].accept(order)
 
     def settled(self) -> bool:
         return all(
@@ -159,7 +159,7 @@
 
 
 class OrdersMachine(RuleBasedStateMachine):
-    """Pauses, outages, late orders and changed wishes in any order."""
+    """Pauses, outages, late orders and changes of the wanted state, in any sequence."""
 
     @initialize()
     def start(self) -> None:
@@ -179,17 +179,17 @@
 
     @rule(hold=st.booleans())
     def hold_orders(self, hold: bool) -> None:
-        """Hold orders on their way, as if the sender were paused between check and write."""
-        self.world.hold_next = hold
+        """Delay orders in transit, as if the sender were paused between check and write."""
+        self.world.delay_orders = hold
 
     @rule(data=st.data())
-    def land(self, data: st.DataObject) -> None:
-        if self.world.on_the_way:
-            last = len(self.world.on_the_way) - 1
-            self.world.land(data.draw(st.integers(0, last)))
+    def deliver(self, data: st.DataObject) -> None:
+        if self.world.in_transit:
+            last = len(self.world.in_transit) - 1
+            self.world.deliver(data.draw(st.integers(0, last)))
 
     @rule(name=st.sampled_from(ENGINES), state=states)
-    def wish(self, name: str, state: WantedState) -> None:
+    def change_wanted(self, name: str, state: WantedState) -> None:
         self.world.desired[name] = state
 
     @rule()
@@ -198,16 +198,16 @@
         assert self.world.settled()
 
     @invariant()
-    def a_checking_engine_never_goes_back(self) -> None:
+    def a_checking_engine_never_accepts_a_lower_number(self) -> None:
         if hasattr(self, "world"):
-            numbers = self.world.engines["checking"].numbers
+            numbers = self.world.engines["checking"].fencing_numbers
             assert numbers == sorted(numbers)
 
     @invariant()
-    def loads_keep_to_the_rate(self) -> None:
+    def loads_stay_within_the_rate(self) -> None:
         if hasattr(self, "world"):
             world = self.world
-            assert world.loads_given <= world.now * LOADS_PER_S + 2 * world.fencing
+            assert world.loads_ordered <= world.now * LOADS_PER_S + 2 * world.fencing
 
 
 TestOrders = OrdersMachine.TestCase
@@ -215,23 +215,23 @@
 
 
 def late_order(**options: Any) -> World:
-    """Pause a holder between its last check and its write, and let it wake much later.
+    """Return a world in which a paused holder's order arrives after a new holder's order.
 
-    An operator would find an engine with the models of last week. Order: check,
-    pause, a new holder's order, the old one's write. Cause: this engine ignores
-    the number, so the old order is taken.
+    Guards against an engine that keeps outdated models. The sequence is: the former
+    holder checks its lease, is paused, a new holder sends an order, and the former
+    holder's write arrives. An engine that ignores the fencing number accepts it.
     """
     world = World(**options)
-    world.hold_next = True
+    world.delay_orders = True
     world.run(6.0)
-    assert {order.engine for order in world.on_the_way} == set(ENGINES)
+    assert {order.engine for order in world.in_transit} == set(ENGINES)
     first = next(vm for vm in world.vms if vm.holder.fencing is not None)
-    first.paused, world.hold_next = True, False
+    first.paused, world.delay_orders = True, False
     world.desired["ignoring"] = WantedState(models=KEYS[1:])
     world.run(3 * TTL_S)
     assert world.fencing == 2 and world.settled()
-    while world.on_the_way:
-        world.land(0)
+    while world.in_transit:
+        world.deliver(0)
     assert world.engines["checking"].report.fencing == 2
     assert world.engines["ignoring"].report.fencing == 1
     first.paused = False
@@ -239,15 +239,16 @@
     return world
 
 
-def test_a_late_order_does_not_stand() -> None:
+def test_a_late_order_is_corrected() -> None:
     assert late_order().settled()
     assert not late_order(read_period_s=float("inf")).settled()
 
 
-def test_an_engine_that_checks_numbers_is_read_seldom_and_ordered_as_soon() -> None:
-    """Story: the holder reads 600 engines 300 times a second, and hardly ever finds anything.
+def test_an_engine_that_checks_numbers_is_read_less_often_but_ordered_as_soon() -> None:
+    """Guards against needless reads: 600 engines were read 300 times a second.
 
-    Cause: every engine is read as if it took anybody's order, though most refuse.
+    It happens if every engine is read as often as one that ignores fencing numbers,
+    though most engines reject the orders of a former holder.
     """
     world = World()
     world.run(600.0)
@@ -261,15 +262,15 @@
 
 @attrs.define
 class LargeFleet:
-    """A holder of many engines that answer at once; some are dead."""
+    """A lease holder with 600 engines that respond at once; the first ``dead`` never respond."""
 
     wanted: WantedState
     dead: int = 0
     loads_per_s: float = 0.1
     reads: list[int] = attrs.field(factory=list)
-    """How many in each step."""
+    """The number of reads in each step."""
     loads: int = 0
-    stamped: int = 0
+    ordered: int = 0
 
     def run(self, seconds: float) -> None:
         names = [f"engine-{number:03}" for number in range(600)]
@@ -293,27 +294,27 @@
                     )
                     holder.record_order_sent(action.engine)
             self.reads.append(sum(isinstance(action, ReadEngine) for action in actions))
-        self.stamped = sum(report.fencing == 1 for report in reports.values())
+        self.ordered = sum(report.fencing == 1 for report in reports.values())
 
 
 def test_the_reads_of_a_large_fleet_stay_within_their_rate() -> None:
-    """Story: the VM that gives the orders serves its callers late, in a fleet of hundreds.
+    """Guards against a lease holder that serves its callers late in a fleet of hundreds.
 
-    Cause: each engine is read every 2 s, however many there are, and all at once
-    when a VM takes over.
+    It happens if each engine is read every 2 s regardless of the size of the fleet,
+    and all engines are read at once when a VM acquires the lease.
     """
     fleet = LargeFleet(WantedState())
     fleet.run(180.0)
-    assert fleet.stamped == 600 and max(fleet.reads) <= orders.MAX_READS_PER_STEP
-    # Two reads to stamp an engine, and then the periodic ones.
+    assert fleet.ordered == 600 and max(fleet.reads) <= orders.MAX_READS_PER_STEP
+    # Two reads for the first order of each engine, and then the periodic reads.
     assert sum(fleet.reads) <= 2 * 600 + 180 * orders.MAX_READS_PER_S
 
 
-def test_engines_that_wait_for_their_load_are_not_read_meanwhile() -> None:
-    """Story: a version is rolled out to all engines, and the holder reads each every second.
+def test_engines_that_wait_for_the_load_budget_are_not_read_meanwhile() -> None:
+    """Guards against reading every engine each second while a version is rolled out to all.
 
-    Cause: an order rests on a fresh read, which is made before it is known that
-    the weight store can't feed the load yet.
+    An order needs a recent report. The fault comes about if the report is read before
+    the check whether the weight store's load budget allows the order.
     """
     fleet = LargeFleet(WantedState(models=KEYS[:1]))
     fleet.run(180.0)
@@ -322,12 +323,12 @@
 
 
 @pytest.mark.parametrize("guarded", [True, False])
-def test_who_holds_the_lease_again_begins_without_loads(
+def test_a_reacquired_lease_starts_with_an_empty_load_budget(
     guarded: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Story: the lease goes to another VM and back, and the weight store gets two loads at once.
+    """Guards against two loads at once when the lease moves to another VM and back.
 
-    Cause: the VM saved up a load while the other one gave its own.
+    It happens if the VM keeps a token that accrued while the other VM ordered loads.
     """
     if not guarded:
         monkeypatch.setattr(LoadBudget, "start_empty", lambda self, now: None)
@@ -343,29 +344,37 @@
     assert bool(holder.next_actions(ENGINES, 101.0)) is guarded
 
 
-def test_dead_engines_hold_up_no_others() -> None:
-    """Story: a data centre is lost, and no engine of the others gets its order."""
+def test_dead_engines_do_not_delay_others() -> None:
+    """Guards against dead engines that use up all reads, as when a data centre is lost.
+
+    The engines of the other data centres would then get no orders.
+    """
     fleet = LargeFleet(WantedState(), dead=200)
     fleet.run(60.0)
-    assert fleet.stamped == 400
+    assert fleet.ordered == 400
+
 
+def test_a_late_order_is_corrected_where_the_settings_are_wrong() -> None:
+    """Guards against a late order staying in force on an engine listed by mistake.
 
-def test_a_late_order_does_not_stand_where_the_settings_are_wrong() -> None:
-    """Story: an operator lists an engine as one that checks, and it ignores the number."""
-    for period_s, put_right in ((orders.CHECKED_READ_PERIOD_S, True), (float("inf"), False)):
-        world = late_order(listed=frozenset(ENGINES), checked_read_period_s=period_s)
+    The settings say that it checks fencing numbers, but it ignores them.
+    """
+    for period_s, corrected in ((orders.CHECKED_READ_PERIOD_S, True), (float("inf"), False)):
+        world = late_order(checked=frozenset(ENGINES), checked_read_period_s=period_s)
         world.run(orders.CHECKED_READ_PERIOD_S)
-        assert world.settled() is put_right
+        assert world.settled() is corrected
 
 
-def test_a_holder_that_wakes_gives_no_order(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Wake a holder after its lease has lapsed; without the margin it would order at once.
+def test_a_holder_that_resumes_after_its_lease_sends_no_order(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Guards against two VMs that send orders to one engine.
 
-    An operator would see two VMs order one engine. Cause: the platform's word
-    that the lease is gone comes only with the next renewal.
+    A holder resumes after its lease has expired. The store reports the loss only at
+    the next renewal, so without the check of the lease's validity it would order at once.
     """
 
-    def wake() -> bool:
+    def sends_after_resume() -> bool:
         world = World()
         world.run(4.0)
         holder = next(vm for vm in world.vms if vm.holder.fencing is not None)
@@ -374,8 +383,8 @@
         world.run(3 * TTL_S)
         return bool(holder.holder.next_actions(ENGINES, world.now))
 
-    assert not wake()
+    assert not sends_after_resume()
     monkeypatch.setattr(
         OrderHolder, "may_write", lambda self, fencing, now: self._fencing == fencing
     )
-    assert wake()
+    assert sends_after_resume()
