--- a/lagoonlever/entry/orders/orders.py
+++ b/lagoonlever/entry/orders/orders.py
@@ -11,12 +11,12 @@
 from lagoonlever.config.options import option
 from lagoonlever.decisions.membership.membership import MemberView
 from lagoonlever.decisions.orders.orders import (
+    MAX_READS_PER_S,
     ORDER_TIMEOUT_S,
-    READS_PER_S,
-    GiveOrder,
     LoadBudget,
     OrderHolder,
     ReadEngine,
+    SendOrder,
 )
 from lagoonlever.decisions.targets.targets import TargetKind, TargetView
 from lagoonlever.entry.orders.store import WantedStore, WantedUnreadable
@@ -80,7 +80,7 @@
         default=6.0, at_least=0.01, at_most=10000, doc="Loads that the weight store can feed."
     )
     reads_per_s: float = option(
-        default=READS_PER_S,
+        default=MAX_READS_PER_S,
         at_least=0.1,
         at_most=1000,
         doc="Reads of engines that have all they are to have, a second, over all engines.",
@@ -155,7 +155,7 @@
         claim = await self._platform.claim([key])
         if not claim.keys[0].created:
             return False
-        self._holder.acquired(
+        self._holder.record_lease_acquired(
             fencing=claim.revision.number, sent_at=sent_at, ttl_s=self._lease.ttl_s
         )
         ORDERS_HELD.log(log, fencing=claim.revision.number)
@@ -174,14 +174,14 @@
                 return
             if isinstance(renewal, Lapsed):
                 return
-            self._holder.renewed(sent_at=sent_at, ttl_s=renewal.ttl_s)
+            self._holder.record_lease_renewed(sent_at=sent_at, ttl_s=renewal.ttl_s)
 
     async def _read_wanted(self) -> None:
         store = WantedStore(platform=self._platform)
         while True:
             try:
                 read = await store.read()
-                self._holder.wanted_read(read.document.engines)
+                self._holder.update_wanted(read.document.engines)
             except WantedUnreadable as error:
                 ORDERS_WANTED_BAD.log(log, error=str(error))
             except PlatformError:
@@ -208,20 +208,20 @@
     async def _read(self, action: ReadEngine) -> None:
         target = self._targets.value.find(action.engine)
         if target is None:
-            self._holder.failed(action.engine, self._timers.now)
+            self._holder.record_failure(action.engine, self._timers.now)
             return
         read_at = self._timers.now
         try:
             report = await read_order(target.address, timeout_s=ORDER_TIMEOUT_S)
         except PeerError:
-            self._holder.failed(action.engine, self._timers.now)
+            self._holder.record_failure(action.engine, self._timers.now)
             return
-        self._holder.observed(action.engine, report, read_at)
+        self._holder.record_report(action.engine, report, read_at)
 
-    async def _give(self, order: GiveOrder) -> None:
+    async def _give(self, order: SendOrder) -> None:
         target = self._targets.value.find(order.engine)
         if target is None:
-            self._holder.failed(order.engine, self._timers.now)
+            self._holder.record_failure(order.engine, self._timers.now)
             return
         try:
             answer = await give_order(
@@ -231,13 +231,13 @@
                 may_write=lambda: self._holder.may_write(order.fencing, self._timers.now),
             )
         except ConnectFailed:
-            self._holder.failed(order.engine, self._timers.now)
+            self._holder.record_failure(order.engine, self._timers.now)
             return
         except PeerError:
             answer = OrderAnswer.TAKEN
         if answer is OrderAnswer.REFUSED:
             ORDER_REFUSED.log(log, engine=order.engine, fencing=order.fencing)
-        self._holder.ordered(order.engine)
+        self._holder.record_order_sent(order.engine)
 
     def _may_write(self) -> bool:
         fencing = self._holder.fencing
