--- a/lagoonlever/decisions/engines/engine_scheduler.py
+++ b/lagoonlever/decisions/engines/engine_scheduler.py
@@ -3,11 +3,11 @@
 Prompts of several thousand tokens arrive at many VMs at once. Each VM sees only a few of them, and
 the engines' own load reports are old when they arrive. An engine processes the prefill of one
 prompt after the other, and meanwhile the runs beside it decode at a fraction of their speed. So
-VMs tell each other of each placement, and a run goes to the engine with the least prefill left
-and the fewest runs that it would slow down, if there is memory for its longest answer.
+each VM announces its placements to the others, and a run goes to the engine with the least prefill
+left and the fewest runs that it would slow down, if there is memory for its longest answer.
 
 After an engine is lost several VMs choose within the same milliseconds and pick the same engine.
-Each checks its choice again once it has heard of the others, and all but one move.
+Each checks its choice again once the placements of the others have arrived, and all but one move.
 """
 
 from __future__ import annotations
@@ -38,7 +38,9 @@
 from lagoonlever.decisions.targets.load_view import TargetLoads
 
 RESUME_JITTER = 0.3
-"""Random spread of the costs of engines after a loss, in usual prefills.
+"""Random spread of the costs of engines after a loss.
+
+The unit is the time of a usual prefill of the service.
 
 Two VMs that resume streams at the same moment would both choose the least busy engine, and each
 prompt would then wait for the other.
@@ -47,27 +49,30 @@
 """Share of an engine's memory up to which it accepts KV-cache copies.
 
 An engine that is full of runs and copies preempts its newest run, whose prefill is then repeated,
-and has no capacity for the runs of the next crash. In simulation, over 24 days at twelve engines,
-95.1% of streams are on time, against 93.2% with copies wherever they fit and 93.5% at 0.6; the
-prompt tokens of repeated prefills are 342 per stream, against 376 and 388. At seven engines, and
-on slow ones, the result is the same as with copies wherever they fit.
+and has no capacity for the runs of the next crash. In simulations of 24 days with twelve engines,
+95.1% of streams are on time at this share, 93.2% without a limit and 93.5% at a share of 0.6.
+Repeated prefills take 342 prompt tokens per stream, 376 without a limit and 388 at 0.6. With seven
+engines, and with slow ones, the limit makes no difference.
 """
 INITIAL_DECODE_S = 5.0
 """Decode time of a usual answer, until the first answers have ended."""
 GOSSIP_DELAY_S = 0.02
-"""Time after which other VMs' placements of the same moment have arrived; each takes some 2 ms."""
+"""Time after which other VMs' placements of the same moment have arrived.
+
+One takes some 2 ms; the rest is a margin.
+"""
 MIN_MOVE_GAIN = 0.4
-"""What a better engine must save for a run to move, in usual prefills.
+"""Minimum saving for which a run moves to a better engine, in times of a usual prefill.
 
 Leaving an engine costs a new connection, and the part of the prefill that is done.
 """
 UNEVEN_JITTER = 0.4
-"""Random spread of the costs of engines that differ in speed, in usual prefills.
+"""Random spread of the costs of engines that differ in speed, in times of a usual prefill.
 
-All VMs see the same engine as the fastest, and hear of each other's choices too late.
+All VMs see the same engine as the fastest, and receive each other's placements too late.
 """
 MIN_PREFILL_LEFT = 0.1
-"""Share of a prompt that counts as unread until its run gives an event."""
+"""Least share of a prompt that counts as not yet prefilled until its run gives an event."""
 
 
 @attrs.frozen(kw_only=True)
@@ -88,7 +93,7 @@
     data_center: str
     """The data centre of this VM."""
     news_s: float = GOSSIP_DELAY_S
-    """How late this VM may hear of other VMs' placements.
+    """Time in seconds within which this VM receives other VMs' placements.
 
     Placements that are closer in time are ordered by request id, which is the same on every VM.
     """
@@ -123,8 +128,8 @@
         ``part`` is the id of the segment that only this prompt has, which identifies a caller
         that returns.
         """
-        record = self._records.last_of(part)
-        if record is None or record.whole:
+        record = self._records.find_by_segment(part)
+        if record is None or record.complete:
             return None
         return record.run
 
@@ -145,8 +150,8 @@
 
         ``prefer`` is an engine that has the prompt cached, so its prefill costs nothing there.
         ``add_jitter`` spreads the costs at random, as after a loss many VMs choose before they
-        hear of each other. With ``begins_within_s`` only engines count that have capacity, and
-        whose prefill backlog takes no longer.
+        receive each other's placements. With ``begins_within_s`` only engines count that have
+        capacity, and whose prefill backlog takes no longer.
         """
         usable = [engine for engine in engines if engine.id not in avoid]
         healthy = [engine for engine in usable if not self.avoidance.is_avoided(engine.id, now)]
@@ -156,7 +161,7 @@
         loads = self._compute_loads(now)
         if begins_within_s is not None:
             need_tokens = min(memory_tokens, limits.memory_tokens)
-            unread = self._records.unread()
+            unread = self._records.prefilling_by_engine()
             candidates = [
                 engine
                 for engine in healthy
@@ -286,7 +291,7 @@
     def is_dispatched_after(self, request: str, at: float) -> bool:
         """Check whether a request is known to have been sent to an engine after a time."""
         record = self._records.find(request)
-        return record is not None and record.sent and record.since > at
+        return record is not None and record.sent and record.recorded_at > at
 
     def find_relay_vm(self, request: str) -> str | None:
         """Return the VM that relays a run, or None if the run is not known."""
@@ -310,15 +315,16 @@
     def record_dispatch(self, run: EngineRun, now: float) -> None:
         """Record a run that was sent to an engine, in place of the request's former run."""
         self._prefill_window.record_prompt(run.service, tokens=run.prompt_tokens, now=now)
-        self._records.enter(run, now)
+        self._records.record_sent(run, now)
 
     def record_reported_run(self, run: EngineRun, now: float) -> None:
-        """Record a run that another VM reports, unless the VM that relays it has told more.
+        """Record a run that another VM reports, unless there is a record of it already.
 
-        The run started before, so it doesn't count as a prompt that engines receive now.
+        An existing record comes from the VM that relays the run, and is more complete. The run
+        started before, so it doesn't count as a prompt that engines receive now.
         """
         if self._records.find(run.request) is None:
-            self._records.enter(run, now)
+            self._records.record_sent(run, now)
 
     def record_copy(self, request: str, copy: RunCopy) -> bool:
         """Record the copy of a run; return whether it differs from the one that was known.
@@ -339,8 +345,8 @@
         run = record.run
         record.run = attrs.evolve(run, flowing=True)
         self._last_prefill_at[run.engine] = now
-        if not record.beside_prompts:
-            seconds = now - record.since
+        if not record.shared_prefill:
+            seconds = now - record.recorded_at
             self.timings.observe_prefill(
                 run.service, run.engine, tokens=run.prompt_tokens, seconds=seconds, now=now
             )
@@ -365,7 +371,7 @@
         if record is None or record.ended_at is not None:
             return
         record.ended_at = now
-        record.whole = whole
+        record.complete = whole
         run = record.run
         if whole:
             self.timings.observe_answer(run.service, tokens=tokens, now=now)
@@ -386,7 +392,7 @@
         The ends of these runs would never be recorded, and engines that were busy once would
         appear busy for good.
         """
-        self._records.forget_others(vm)
+        self._records.discard_others(vm)
 
     def record_restart(self, engine: str, started_ms: int, now: float) -> None:
         """End the runs and drop the copies of an engine's former process after a restart.
@@ -398,11 +404,14 @@
             run = record.run
             if run.engine == engine and run.engine_started_ms != started_ms:
                 record.ended_at = now if record.ended_at is None else record.ended_at
-            if run.copy is not None and run.copy.is_void(engine, started_ms):
+            if run.copy is not None and run.copy.is_lost(engine, started_ms):
                 record.run = attrs.evolve(run, copy=None)
 
     def expire(self, now: float) -> None:
-        """Remove runs that ended so long ago that nothing of them can be cached any more."""
+        """Remove what has lapsed: ended runs, prefill times, avoidance and timings.
+
+        A run lapses when nothing of it can be cached at its engine any more.
+        """
         self._records.expire(now)
         for engine in [e for e, at in self._last_prefill_at.items() if now - at > self._keep_s]:
             del self._last_prefill_at[engine]
@@ -446,7 +455,7 @@
         per_prompt_s = PROMPT_COST * self.timings.usual_prefill_s(record.run.service)
         return sum(
             per_prompt_s + self._prefill_left_s(other, now)
-            for other in self._records.unread_at(record.run.engine)
+            for other in self._records.prefilling_at(record.run.engine)
             if other is not record and self._is_before(other, record)
         )
 
@@ -458,7 +467,7 @@
             self._uneven.prefill_s(record.run.service, engine, record.run.prompt_tokens, now)
             for record in unread
         ]
-        first_at = min(record.since for record in unread)
+        first_at = min(record.recorded_at for record in unread)
         began_at = max(first_at, self._last_prefill_at.get(engine, first_at))
         return max(
             sum(whole_s) - (now - began_at), sum(whole_s[1:]) + MIN_PREFILL_LEFT * whole_s[0]
@@ -466,15 +475,15 @@
 
     def _is_before(self, one: RunRecord, other: RunRecord) -> bool:
         """Check whether a run comes before another one, in an order that all VMs agree on."""
-        if abs(one.since - other.since) > self.news_s:
-            return one.since < other.since
+        if abs(one.recorded_at - other.recorded_at) > self.news_s:
+            return one.recorded_at < other.recorded_at
         return one.run.request < other.run.request
 
     def _prefill_left_s(self, record: RunRecord, now: float) -> float:
         """Return the remaining prefill time of a run, as if its prefill began at its dispatch."""
         run = record.run
         whole_s = self._uneven.prefill_s(run.service, run.engine, run.prompt_tokens, now)
-        return max(whole_s * MIN_PREFILL_LEFT, whole_s - (now - record.since))
+        return max(whole_s * MIN_PREFILL_LEFT, whole_s - (now - record.recorded_at))
 
     def _uneven_choice(
         self,
--- a/lagoonlever/decisions/streams/orphans.py
+++ b/lagoonlever/decisions/streams/orphans.py
@@ -49,7 +49,7 @@
 
     _reported_to: dict[str, Incarnation] = attrs.field(factory=dict)
 
-    def due(self, open_since: dict[str, float], now: float) -> list[str]:
+    def due_reports(self, open_since: dict[str, float], now: float) -> list[str]:
         """Return the ids of the open streams that are now old enough to be reported.
 
         Streams that were reported already are left out.
@@ -64,8 +64,8 @@
         """Record that a stream was reported to the peer ``holder``."""
         self._reported_to[stream_id] = holder
 
-    def ended(self, open_since: dict[str, float]) -> list[tuple[str, Incarnation]]:
-        """Return the reported streams that have ended, each with its peer, and forget them."""
+    def pop_ended(self, open_since: dict[str, float]) -> list[tuple[str, Incarnation]]:
+        """Return the reported streams that have ended, each with its peer, and remove them."""
         ended = [(name, at) for name, at in self._reported_to.items() if name not in open_since]
         for name, _ in ended:
             del self._reported_to[name]
@@ -98,7 +98,7 @@
             if kept is not None and kept.owner == owner:
                 del self._records[stream_id]
 
-    def due(self, view: MemberView, now: float) -> list[StreamRecord]:
+    def pop_due(self, view: MemberView, now: float) -> list[StreamRecord]:
         """Return the streams to cancel, whose owner has been lost for the grace time.
 
         Their records are removed, so each stream is returned once.
@@ -116,7 +116,7 @@
                 del self._records[stream_id]
         return orphans
 
-    def paused(self, seconds: float) -> None:
+    def discount_pause(self, seconds: float) -> None:
         """Exclude a pause of this VM from the time for which owners have been lost.
 
         While it was paused, this VM could not learn that an owner was alive again.
--- a/lagoonlever/entry/fleet/claims.py
+++ b/lagoonlever/entry/fleet/claims.py
@@ -11,16 +11,16 @@
 import logbook
 import trio
 
-from lagoonlever.decisions.claims.claims import HomeTable
-from lagoonlever.decisions.claims.group import (
-    Bindings,
+from lagoonlever.decisions.claims.claim_queue import (
+    BindingCache,
+    BindingUnknown,
     Bound,
     Claim,
     ClaimQueue,
     ClaimResult,
-    Unbound,
 )
-from lagoonlever.decisions.claims.keys import HomedKey, KeyHome, parse_homed
+from lagoonlever.decisions.claims.key_table import KeyTable
+from lagoonlever.decisions.claims.keys import HomedKey, KeyHome, parse_homed_key
 from lagoonlever.entry.services.events import CLAIMS_FAIL
 from lagoonlever.entry.services.settings import ServiceSettings
 from lagoonlever.exceptions import PlatformAnswerLost, PlatformError
@@ -42,7 +42,7 @@
     """The copies that wait for one claim."""
 
     done: trio.Event = attrs.field(factory=trio.Event)
-    result: ClaimResult = attrs.field(factory=Unbound)
+    result: ClaimResult = attrs.field(factory=BindingUnknown)
 
 
 @attrs.define(kw_only=True)
@@ -50,11 +50,11 @@
     """Owns the claims of this VM; one transaction is on its way at a time."""
 
     _platform: Platform
-    _table: HomeTable
+    _table: KeyTable
     _timers: TimerService
     _settings: ServiceSettings
     _queue: ClaimQueue = attrs.field(factory=ClaimQueue)
-    _bindings: Bindings = attrs.field(factory=Bindings)
+    _bindings: BindingCache = attrs.field(factory=BindingCache)
     _waiting: dict[str, _Waiting] = attrs.field(factory=dict)
     _more: trio.Event = attrs.field(factory=trio.Event)
     _lease: Lease | None = None
@@ -72,12 +72,12 @@
         if known is not None:
             return Bound(home=known)
         if self._timers.now < self._down_until:
-            return Unbound()
+            return BindingUnknown()
         waiting = self._waiting.get(scope)
         if waiting is None:
             proposed = self.key_home.mint(random=scope)
             if not self._queue.add(Claim(scope=scope, proposed=proposed)):
-                return Unbound()
+                return BindingUnknown()
             waiting = self._waiting.setdefault(scope, _Waiting())
             self._more.set()
         await waiting.done.wait()
@@ -131,7 +131,7 @@
             home = (
                 claim.proposed
                 if found is None
-                else parse_homed(found.value.decode("utf-8", "replace"))
+                else parse_homed_key(found.value.decode("utf-8", "replace"))
             )
             if home is not None:
                 homes[claim.scope] = home
@@ -154,6 +154,6 @@
     def _tell(self, claim: Claim, home: HomedKey | None) -> None:
         waiting = self._waiting.pop(claim.scope)
         if home is not None:
-            self._bindings.learn(claim.scope, home)
+            self._bindings.record(claim.scope, home)
             waiting.result = Bound(home=home)
         waiting.done.set()
--- a/lagoonlever/entry/generations/generations.py
+++ b/lagoonlever/entry/generations/generations.py
@@ -17,7 +17,7 @@
     GenerationSpec,
     ResumePoint,
 )
-from lagoonlever.decisions.streams.resume import point_of_held
+from lagoonlever.decisions.streams.resume import resume_point_from_held
 from lagoonlever.entry.callers.callers import CallerDirectory
 from lagoonlever.entry.callers.completion_checks import (
     check_allowed,
@@ -212,7 +212,7 @@
         Where its tokens are lost, a new generation begins if the caller can tell
         it from the one it holds.
         """
-        point = point_of_held(call.spec, call.held, last)
+        point = resume_point_from_held(call.spec, call.held, last)
         if point is None:
             point = await self._resume_points.find(call.spec, last)
         if point is None and last.offset and not call.spec.accepts_restart:
@@ -322,8 +322,8 @@
     def _drop_beyond_bound(self) -> None:
         """Drop the oldest kept answers, so that few long ones take no more than many short."""
         kept = [key for key, task in self._tasks.items() if task.ended_at is not None]
-        tokens = sum(self._tasks[key].life.released for key in kept)
+        tokens = sum(self._tasks[key].life.released_tokens for key in kept)
         for left, key in zip(range(len(kept), 0, -1), kept, strict=True):
             if left <= self._settings.answers_kept and tokens <= self._settings.tokens_kept:
                 return
-            tokens -= self._tasks.pop(key).life.released
+            tokens -= self._tasks.pop(key).life.released_tokens
--- a/lagoonlever/entry/orders/store.py
+++ b/lagoonlever/entry/orders/store.py
@@ -17,8 +17,8 @@
     WantedStored,
     WantedUndetermined,
     apply_edits,
-    conflicts_of,
-    stands,
+    find_conflicts,
+    is_applied,
 )
 from lagoonlever.exceptions import PlatformAnswerLost, PlatformError, PlatformUnavailable
 from lagoonlever.store.port import ABSENT, ChangeRefused, Platform, Swapped
@@ -112,9 +112,9 @@
 
 def _settled(read: ReadWanted, edits: Sequence[WantedEdit], *, sent: bool) -> WantedOutcome | None:
     """Give the outcome where nothing is left to write, or None."""
-    if stands(read.document, edits):
+    if is_applied(read.document, edits):
         return WantedStored(revision=read.revision, made=sent)
-    conflicts = conflicts_of(read.document, edits)
+    conflicts = find_conflicts(read.document, edits)
     if not conflicts:
         return None
     if sent:
--- a/lagoonlever/entry/services/copies.py
+++ b/lagoonlever/entry/services/copies.py
@@ -4,14 +4,14 @@
 
 import attrs
 
-from lagoonlever.decisions.claims.claims import KeyRecord, StoredAnswer
-from lagoonlever.decisions.claims.copies import (
+from lagoonlever.decisions.claims.answer_copies import (
     MAX_COPIED_BYTES,
     AnswerCopies,
-    CopyFound,
-    successors,
+    CopyLookup,
+    choose_copy_holders,
 )
-from lagoonlever.decisions.claims.keys import HomedKey, parse_homed
+from lagoonlever.decisions.claims.key_table import KeyRecord, StoredAnswer
+from lagoonlever.decisions.claims.keys import HomedKey, parse_homed_key
 from lagoonlever.decisions.membership.membership import Member, MemberView
 from lagoonlever.entry.services.call import outcome_of_tag
 from lagoonlever.http.messages import Headers
@@ -43,10 +43,10 @@
         if record.answer.size_bytes > MAX_COPIED_BYTES:
             return
         message = _message_of(record, record.answer)
-        for member in successors(record.key.home, self._members.value):
+        for member in choose_copy_holders(record.key.home, self._members.value):
             self._bus.send(member.peers, message)
 
-    def find(self, key: HomedKey, *, fingerprint: bytes) -> CopyFound:
+    def find(self, key: HomedKey, *, fingerprint: bytes) -> CopyLookup:
         """Look for another home's answer here."""
         return self._copies.find(key, fingerprint=fingerprint)
 
@@ -54,11 +54,13 @@
         """Give the other members that may keep a copy of a key's answer."""
         view = self._members.value
         return tuple(
-            member for member in successors(key.home, view) if member.incarnation != view.own
+            member
+            for member in choose_copy_holders(key.home, view)
+            if member.incarnation != view.own
         )
 
     def _keep(self, message: KeyAnswer) -> None:
-        key = parse_homed(message.key)
+        key = parse_homed_key(message.key)
         outcome = _outcome_of(message)
         if key is None or outcome is None:
             return
@@ -68,7 +70,7 @@
             headers=Headers(tuple((field.name, field.value) for field in message.headers)),
             body=message.body,
         )
-        self._copies.keep(key, fingerprint=message.fingerprint, answer=answer)
+        self._copies.store(key, fingerprint=message.fingerprint, answer=answer)
 
 
 def _outcome_of(message: KeyAnswer) -> Outcome | None:
--- a/lagoonlever/gateway/copy_keeper.py
+++ b/lagoonlever/gateway/copy_keeper.py
@@ -10,7 +10,7 @@
 
 from lagoonlever.decisions.settings.configuration import EngineLimits
 from lagoonlever.decisions.settings.mechanisms import MECHANISMS, gives
-from lagoonlever.decisions.streams.copy_policy import CHECK_S, CopyPolicy
+from lagoonlever.decisions.streams.copy_policy import CHECK_INTERVAL_S, CopyPolicy
 from lagoonlever.decisions.streams.engine_runs import EngineRun, RunCopy
 from lagoonlever.decisions.streams.run_placement import Placed, PlacementRequest
 from lagoonlever.decisions.targets.listed_target import ListedTarget
@@ -63,9 +63,9 @@
         keeping = self._keeping
         keeping.record_incremental_copy(self._run.copy_holder)
         while True:
-            await trio.sleep(CHECK_S)
+            await trio.sleep(CHECK_INTERVAL_S)
             usable = self._is_usable(keeping.holder)
-            if not self.flowing or not keeping.due(self._timers.now, holder_usable=usable):
+            if not self.flowing or not keeping.is_copy_due(self._timers.now, holder_usable=usable):
                 continue
             to = await self._new_holder(keeping.holder if usable else None)
             copied = await self._copy_to(to)
@@ -108,7 +108,7 @@
         if target is None or not self._beliefs.targets.takes_work(target.id):
             return False
         copy = self._called_copy or self._run.copy
-        if copy is not None and copy.is_void(target.id, target.started_ms):
+        if copy is not None and copy.is_lost(target.id, target.started_ms):
             return False
         return not self._beliefs.book.avoidance.is_avoided(target.id, self._timers.now)
 
--- a/lagoonlever/gateway/placer.py
+++ b/lagoonlever/gateway/placer.py
@@ -138,11 +138,11 @@
         alone = bool(placement_hubs(self._roles.value, own=self._vm, present=self._present))
         return PlacementContext(
             book=self._beliefs.book,
-            window=self._budgets.of_runs(service),
+            retry_window=self._budgets.of_runs(service),
             targets=self._beliefs.targets,
             limits=self._beliefs.engine_limits(service),
-            vms=self._beliefs.fellows.max_fleet_size(self._timers.now) if alone else 1,
-            ranked=has_ranks(self._beliefs.configuration.value, service, RouteKind.STREAM),
+            vm_count=self._beliefs.fellows.max_fleet_size(self._timers.now) if alone else 1,
+            ranks_differ=has_ranks(self._beliefs.configuration.value, service, RouteKind.STREAM),
         )
 
     @property
--- a/lagoonlever/gateway/stream_attempt.py
+++ b/lagoonlever/gateway/stream_attempt.py
@@ -11,7 +11,7 @@
 from lagoonlever.decisions.engines.target_crashes import WEIGHT_QUEUED, WEIGHT_STARTED
 from lagoonlever.decisions.streams.engine_runs import RunCopy
 from lagoonlever.decisions.streams.silence import (
-    PAUSE_ALLOWED_S,
+    DEFAULT_MAX_PAUSE_S,
     QueryEngine,
     RunStatus,
     SilenceDetector,
@@ -174,7 +174,7 @@
         """Write and relay; gives the head if the connection may be kept."""
         plan = self._plan
         self._life.record_sent(copy=plan.run.copy)
-        ticket = self._tools.words.sent(plan.engine.id, first=self._life.sent == 1)
+        ticket = self._tools.words.sent(plan.engine.id, first=self._life.sent_attempts == 1)
         self._peers.begin(plan.run)
         self._log_sent()
         self._counts.sent(whole_answer=plan.copy_from is None and not self._life.position)
@@ -212,7 +212,7 @@
             first_query_s=first_query_delay_s(
                 usual_reading_s=usual_s, objective_s=route.objective_s
             ),
-            pause_allowed_s=route.pause_objective_s or PAUSE_ALLOWED_S,
+            max_pause_s=route.pause_objective_s or DEFAULT_MAX_PAUSE_S,
         )
 
     async def _relay(
@@ -244,7 +244,7 @@
         await self._accepted.exchange.finish()
         self._count("answered")
         self._counts.whole(self._now)
-        self._life.whole = True
+        self._life.complete = True
         self._tools.beliefs.book.avoidance.record_success(self._plan.engine.id)
         self._tools.crashes.served(self._accepted)
         await self._copies.free()
@@ -295,7 +295,7 @@
         run = report.run(self._accepted.request_id) if report else None
         answer = _answer_of(report, run, flowing=self._flowing)
         if run is None and self._flowing and self._has_started_again():
-            answer = RunStatus.STARTED_AGAIN
+            answer = RunStatus.ENGINE_RESTARTED
         elif report is not None and self._is_preempted(report, silence):
             answer = RunStatus.PREEMPTED
         ahead = run.events - (self._life.position or 0) if run else 0
@@ -491,7 +491,7 @@
             request=self._accepted.request_id,
             part=plan.run.part,
             target=plan.engine.id,
-            attempt=self._life.sent,
+            attempt=self._life.sent_attempts,
             position=self._life.position,
             copy=plan.run.copy_holder,
             rank=self._rank,
@@ -520,10 +520,10 @@
 def _answer_of(report: EngineReport | None, run: RunReport | None, *, flowing: bool) -> RunStatus:
     """Read a report; an engine lists a run by name only once it has made a token."""
     if report is None:
-        return RunStatus.NONE
+        return RunStatus.NO_REPORT
     if run is not None:
         return RunStatus.RUNNING
     unnamed = report.waiting + max(0, report.running - len(report.runs))
     if report.waiting or (unnamed and not flowing):
         return RunStatus.QUEUED
-    return RunStatus.NOT_THERE
+    return RunStatus.NOT_LISTED
