--- a/lagoonlever/tests/commands_orders_tests.py
+++ b/lagoonlever/tests/commands_orders_tests.py
@@ -175,7 +175,7 @@
         assert ((await store.read()).document.engines == {"a": V2, "b": V1}) is checked
 
     if not checked:
-        monkeypatch.setattr(orders_store, "conflicts_of", lambda document, edits: ())
+        monkeypatch.setattr(orders_store, "find_conflicts", lambda document, edits: ())
     with_store(story)
 
 
--- a/lagoonlever/tests/orders_store_tests.py
+++ b/lagoonlever/tests/orders_store_tests.py
@@ -169,7 +169,7 @@
 
 def test_without_the_comparison_of_states_a_change_is_lost(monkeypatch: pytest.MonkeyPatch) -> None:
     """Two operators set one engine after the same look, and the first one's change vanishes."""
-    monkeypatch.setattr(orders_store, "conflicts_of", lambda document, edits: ())
+    monkeypatch.setattr(orders_store, "find_conflicts", lambda document, edits: ())
     with pytest.raises(AssertionError, match="replaced unseen"):
         operators_are_told_the_truth()
 
